--- a/src/transport/connection_pool.rs
+++ b/src/transport/connection_pool.rs
@@ -1,4 +1,4 @@
-use super::node_connection::{Broken, Conn, unreadable};
+use super::node_connection::{ExchangeError, NodeConnection, unreadable};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Frame, Incoming};
@@ -13,56 +13,75 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::Instant;
 
-/// A connection that has answered rests for so long before it carries the next request. A second answer may come
-/// some milliseconds late, as the platform says, and nothing in it tells which request it is for: it would be
-/// taken for the answer to the next one.
+/// A connection that has answered rests for so long before it carries the next request. A second answer may
+/// come some milliseconds late, as the platform says, and nothing in it tells which request it is for: it
+/// would be taken for the answer to the next one.
 const REST: Duration = Duration::from_millis(20);
 
 /// Chunks of a streamed body that wait for the client at most.
 const AHEAD: usize = 4;
 
-/// Says something of the head of an answer.
-pub type Heads = dyn Fn(StatusCode, &HeaderMap) -> bool;
+/// Judges the head of a response.
+pub type HeadPredicate = dyn Fn(StatusCode, &HeaderMap) -> bool;
+
+/// Which responses are streamed to the client as they come, rather than read whole first.
+pub struct StreamingRule {
+    /// Only responses whose body is longer than this, in bytes.
+    pub min_body_len: u64,
+    /// Only responses whose head this accepts.
+    pub accepts: Box<HeadPredicate>,
+}
+
+impl StreamingRule {
+    /// No response is streamed.
+    pub fn never() -> Self {
+        StreamingRule { min_body_len: 0, accepts: Box::new(|_, _| false) }
+    }
+
+    fn applies(&self, body_len: u64, status: StatusCode, headers: &HeaderMap) -> bool {
+        body_len > self.min_body_len && (self.accepts)(status, headers)
+    }
+}
 
 /// One exchange with the peer.
-pub struct Job {
+pub struct Exchange {
     /// Makes the request when its connection is up, so that it tells the time that is left then; it is sent
     /// once. None: nobody waits for it any more, and it must not begin.
-    pub begin: Box<dyn FnMut() -> Option<Request<Full<Bytes>>>>,
+    pub build_request: Box<dyn FnMut() -> Option<Request<Full<Bytes>>>>,
     /// When to give it up.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Resolves once it is called off.
-    pub called_off: oneshot::Receiver<()>,
+    pub cancelled: oneshot::Receiver<()>,
     /// Gives up an answer that has begun and of which nothing new has come for so long.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Which answers are streamed, if their body is longer than this.
-    pub stream: (u64, Box<Heads>),
+    pub streaming: StreamingRule,
     /// The largest body that is read whole before it counts; a longer one has failed.
-    pub most: usize,
+    pub max_body_len: usize,
     /// Hears of the beginning of a streamed answer, if it is one, and then of the end.
-    pub tell: Box<dyn FnMut(End)>,
+    pub on_event: Box<dyn FnMut(ExchangeEvent)>,
 }
 
 /// What becomes of a job.
 #[derive(Debug)]
-pub enum End {
+pub enum ExchangeEvent {
     /// The whole answer.
-    Answered(Response<Bytes>),
+    Completed(Response<Bytes>),
     /// The head of an answer whose body follows; one more end will come.
-    Began(Response<Streamed>),
+    StreamStarted(Response<StreamedBody>),
     /// The streamed body is complete.
-    Finished,
+    StreamCompleted,
     /// No descriptor is left for it.
-    NoRoom,
+    DescriptorsExhausted,
     /// Called off or no longer wanted before it was written whole: the peer has not begun it, and that says
     /// nothing of the peer.
-    NotBegun,
+    NotStarted,
     /// Never written whole: the peer has not begun it.
-    Unreachable,
+    ConnectFailed,
     /// Broke after it was written.
-    Reset,
+    ConnectionReset,
     /// What came back is no answer, or stopped halfway: it has run, and only this connection is of no use.
-    Spoilt,
+    MalformedResponse,
     /// No answer in time.
     TimedOut,
     /// Called off, or the client of a streamed answer left.
@@ -71,9 +90,9 @@
 
 /// The body of a streamed answer.
 #[derive(Debug)]
-pub struct Streamed(mpsc::Receiver<io::Result<Bytes>>);
+pub struct StreamedBody(mpsc::Receiver<io::Result<Bytes>>);
 
-impl hyper::body::Body for Streamed {
+impl hyper::body::Body for StreamedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -88,19 +107,19 @@
     /// A permit for each connection that may be open in all.
     pub permits: Arc<Semaphore>,
     /// A connection not up by then has failed.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// An idle connection is closed after this, well before the peer would do it.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 struct Pooled {
-    conn: Conn,
+    conn: NodeConnection,
     used: Instant,
     _permit: OwnedSemaphorePermit,
 }
 
 enum Mail {
-    Do(Box<Job>),
+    Do(Box<Exchange>),
     Back(Pooled),
     Doubt(Instant),
     Moved(SocketAddr),
@@ -109,29 +128,29 @@
 
 /// The address of the actor of one peer, which keeps the connections to it.
 #[derive(Clone)]
-pub struct Peer(mpsc::UnboundedSender<Mail>);
+pub struct ConnectionPool(mpsc::UnboundedSender<Mail>);
 
-impl Peer {
+impl ConnectionPool {
     /// Starts the actor. It ends when nobody can reach it.
-    pub fn start(address: SocketAddr, limits: PoolLimits) -> Peer {
+    pub fn start(address: SocketAddr, limits: PoolLimits) -> ConnectionPool {
         let (sender, mailbox) = mpsc::unbounded_channel();
         let own = sender.downgrade();
         tokio::task::spawn_local(run(address, limits, mailbox, own));
-        Peer(sender)
+        ConnectionPool(sender)
     }
 
     /// Takes a job.
-    pub fn carry(&self, job: Job) {
+    pub fn execute(&self, job: Exchange) {
         self.tell(Mail::Do(Box::new(job)));
     }
 
     /// The peer is reached at another address from now on.
-    pub fn moved(&self, address: SocketAddr) {
+    pub fn address_changed(&self, address: SocketAddr) {
         self.tell(Mail::Moved(address));
     }
 
     /// The peer's process is a new one: connections to the old are dead.
-    pub fn restarted(&self) {
+    pub fn node_restarted(&self) {
         self.tell(Mail::Restarted);
     }
 
@@ -151,7 +170,7 @@
     // Connections used before this are not to be used again.
     let mut doubted = Instant::now();
     loop {
-        let oldest = idle.first().map(|p| p.used + limits.idle);
+        let oldest = idle.first().map(|p| p.used + limits.idle_timeout);
         let retire = async {
             match oldest {
                 Some(at) => tokio::time::sleep_until(at).await,
@@ -162,7 +181,7 @@
             mail = mailbox.recv() => match mail {
                 None => return,
                 Some(Mail::Do(job)) => {
-                    idle.retain(|p| p.used.elapsed() < limits.idle);
+                    idle.retain(|p| p.used.elapsed() < limits.idle_timeout);
                     let back = own.clone();
                     tokio::task::spawn_local(carry(*job, rested(&mut idle), address, limits.clone(), back));
                 }
@@ -185,7 +204,7 @@
                     idle.clear();
                 }
             },
-            () = retire => idle.retain(|p| p.used.elapsed() < limits.idle),
+            () = retire => idle.retain(|p| p.used.elapsed() < limits.idle_timeout),
         }
     }
 }
@@ -195,7 +214,7 @@
     loop {
         let at = idle.iter().rposition(|p| p.used.elapsed() >= REST)?;
         let pooled = idle.remove(at);
-        if pooled.conn.usable() {
+        if pooled.conn.is_reusable() {
             return Some(pooled);
         }
     }
@@ -203,7 +222,7 @@
 
 /// Does a job on the idle connection given, or on a new one, and gives the connection back.
 async fn carry(
-    mut job: Job,
+    mut job: Exchange,
     pooled: Option<Pooled>,
     address: SocketAddr,
     limits: PoolLimits,
@@ -214,31 +233,31 @@
         Some(pooled) => pooled,
         None => {
             let Ok(permit) = limits.permits.clone().try_acquire_owned() else {
-                return (job.tell)(End::NoRoom);
+                return (job.on_event)(ExchangeEvent::DescriptorsExhausted);
             };
             // Not connected by the end of its time, or called off before: it never ran.
-            let by = job.until.min(began + limits.connect);
+            let by = job.deadline.min(began + limits.connect_timeout);
             let opened = tokio::select! {
                 biased;
-                _ = &mut job.called_off => return (job.tell)(End::NotBegun),
-                opened = tokio::time::timeout_at(by, Conn::open(address)) => opened,
+                _ = &mut job.cancelled => return (job.on_event)(ExchangeEvent::NotStarted),
+                opened = tokio::time::timeout_at(by, NodeConnection::connect(address)) => opened,
             };
             match opened {
                 Ok(Ok(conn)) => Pooled { conn, used: began, _permit: permit },
-                Ok(Err(_)) | Err(_) => return (job.tell)(End::Unreachable),
+                Ok(Err(_)) | Err(_) => return (job.on_event)(ExchangeEvent::ConnectFailed),
             }
         }
     };
-    let (end, whole) = match (job.begin)() {
+    let (end, whole) = match (job.build_request)() {
         Some(request) => talk(&mut job, &mut pooled.conn, request).await,
         // The connection is as good as before.
-        None => (End::NotBegun, true),
+        None => (ExchangeEvent::NotStarted, true),
     };
     let sent = pooled.conn.sent();
     let end = match end {
         // Given up before its last byte was out: it never ran.
-        End::TimedOut if !sent => End::Unreachable,
-        End::Cancelled if !sent => End::NotBegun,
+        ExchangeEvent::TimedOut if !sent => ExchangeEvent::ConnectFailed,
+        ExchangeEvent::Cancelled if !sent => ExchangeEvent::NotStarted,
         end => end,
     };
     if let Some(mailbox) = back.upgrade() {
@@ -248,15 +267,23 @@
             pooled.used = Instant::now();
             Some(Mail::Back(pooled))
         } else {
-            matches!(end, End::TimedOut | End::Reset | End::Unreachable).then_some(Mail::Doubt(began))
+            matches!(
+                end,
+                ExchangeEvent::TimedOut | ExchangeEvent::ConnectionReset | ExchangeEvent::ConnectFailed
+            )
+            .then_some(Mail::Doubt(began))
         };
         mail.into_iter().for_each(|m| drop(mailbox.send(m)));
     }
-    (job.tell)(end);
+    (job.on_event)(end);
 }
 
 /// The end of the job, and whether the connection can be used again.
-async fn talk(job: &mut Job, conn: &mut Conn, mut request: Request<Full<Bytes>>) -> (End, bool) {
+async fn talk(
+    job: &mut Exchange,
+    conn: &mut NodeConnection,
+    mut request: Request<Full<Bytes>>,
+) -> (ExchangeEvent, bool) {
     let interim = Arc::new(AtomicBool::new(false));
     let told = interim.clone();
     hyper::ext::on_informational(&mut request, move |_| told.store(true, Ordering::Relaxed));
@@ -267,14 +294,14 @@
     let answered = loop {
         tokio::select! {
             biased;
-            _ = &mut job.called_off => return (End::Cancelled, false),
+            _ = &mut job.cancelled => return (ExchangeEvent::Cancelled, false),
             answer = &mut exchange => break answer,
-            () = listener.heard(), if stalls.is_none() => stalls = Some(Instant::now() + job.stall),
-            () = tokio::time::sleep_until(job.until) => return (End::TimedOut, false),
-            () = tokio::time::sleep_until(stalls.unwrap_or(job.until)), if stalls.is_some() => {
+            () = listener.heard(), if stalls.is_none() => stalls = Some(Instant::now() + job.stall_timeout),
+            () = tokio::time::sleep_until(job.deadline) => return (ExchangeEvent::TimedOut, false),
+            () = tokio::time::sleep_until(stalls.unwrap_or(job.deadline)), if stalls.is_some() => {
                 // 1xx answers tell that the true one is to come, not when.
                 if !interim.swap(false, Ordering::Relaxed) {
-                    return (End::Spoilt, false);
+                    return (ExchangeEvent::MalformedResponse, false);
                 }
                 listener.forget();
                 stalls = None;
@@ -283,63 +310,67 @@
     };
     let (head, mut body) = match answered {
         Ok(answer) => answer.into_parts(),
-        Err(Broken::BeforeSent) => return (End::Unreachable, false),
-        Err(Broken::AfterSent) => return (End::Reset, false),
-        Err(Broken::Unreadable) => return (End::Spoilt, false),
+        Err(ExchangeError::NotSent) => return (ExchangeEvent::ConnectFailed, false),
+        Err(ExchangeError::ConnectionReset) => return (ExchangeEvent::ConnectionReset, false),
+        Err(ExchangeError::MalformedResponse) => return (ExchangeEvent::MalformedResponse, false),
     };
     let expected = hyper::body::Body::size_hint(&body);
-    if expected.lower() > job.stream.0 && (job.stream.1)(head.status, &head.headers) {
+    if job.streaming.applies(expected.lower(), head.status, &head.headers) {
         return stream(job, head, body).await;
     }
     // One that says it is too long is not read to find out.
-    if expected.lower() > job.most as u64 {
-        return (End::Spoilt, false);
+    if expected.lower() > job.max_body_len as u64 {
+        return (ExchangeEvent::MalformedResponse, false);
     }
     let mut bytes = BytesMut::new();
     loop {
-        let stalls = Instant::now() + job.stall;
+        let stalls = Instant::now() + job.stall_timeout;
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = tokio::time::sleep_until(job.until) => return (End::TimedOut, false),
-            () = tokio::time::sleep_until(stalls) => return (End::Spoilt, false),
-            _ = &mut job.called_off => return (End::Cancelled, false),
+            () = tokio::time::sleep_until(job.deadline) => return (ExchangeEvent::TimedOut, false),
+            () = tokio::time::sleep_until(stalls) => return (ExchangeEvent::MalformedResponse, false),
+            _ = &mut job.cancelled => return (ExchangeEvent::Cancelled, false),
         };
         match frame {
-            None => return (End::Answered(Response::from_parts(head, bytes.freeze())), true),
+            None => return (ExchangeEvent::Completed(Response::from_parts(head, bytes.freeze())), true),
             Some(Ok(frame)) => bytes.extend_from_slice(frame.data_ref().map_or(&[], |d| d)),
-            Some(Err(e)) if unreadable(&e) => return (End::Spoilt, false),
-            Some(Err(_)) => return (End::Reset, false),
+            Some(Err(e)) if unreadable(&e) => return (ExchangeEvent::MalformedResponse, false),
+            Some(Err(_)) => return (ExchangeEvent::ConnectionReset, false),
         }
-        if bytes.len() > job.most {
-            return (End::Spoilt, false);
+        if bytes.len() > job.max_body_len {
+            return (ExchangeEvent::MalformedResponse, false);
         }
     }
 }
 
 /// Passes the body on as it comes, from this one attempt. If it breaks off, so does the client's answer,
 /// short of its Content-Length; nothing else may ever continue it.
-async fn stream(job: &mut Job, head: hyper::http::response::Parts, mut body: Incoming) -> (End, bool) {
+async fn stream(
+    job: &mut Exchange,
+    head: hyper::http::response::Parts,
+    mut body: Incoming,
+) -> (ExchangeEvent, bool) {
     let (chunks, streamed) = mpsc::channel(AHEAD);
-    (job.tell)(End::Began(Response::from_parts(head, Streamed(streamed))));
+    (job.on_event)(ExchangeEvent::StreamStarted(Response::from_parts(head, StreamedBody(streamed))));
     loop {
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = tokio::time::sleep(job.stall) => {
+            () = tokio::time::sleep(job.stall_timeout) => {
                 cut(&chunks).await;
-                return (End::TimedOut, false);
+                return (ExchangeEvent::TimedOut, false);
             }
-            () = chunks.closed() => return (End::Cancelled, false),
+            () = chunks.closed() => return (ExchangeEvent::Cancelled, false),
         };
         let data = match frame {
-            None => return (End::Finished, true),
+            None => return (ExchangeEvent::StreamCompleted, true),
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             Some(Err(_)) => {
                 cut(&chunks).await;
-                return (End::Reset, false);
+                return (ExchangeEvent::ConnectionReset, false);
             }
         };
         if chunks.send(Ok(data)).await.is_err() {
-            return (End::Cancelled, false);
+            return (ExchangeEvent::Cancelled, false);
         }
     }
 }
--- a/src/transport/connection_pool/tests.rs
+++ b/src/transport/connection_pool/tests.rs
@@ -1,5 +1,5 @@
 use super::{Pooled, rested};
-use crate::transport::Conn;
+use crate::transport::NodeConnection;
 use std::io::Write;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
     let permits = Arc::new(Semaphore::new(count));
     let (mut idle, mut ends) = (Vec::new(), Vec::new());
     for _ in 0..count {
-        let conn = Conn::open(listener.local_addr().unwrap()).await.unwrap();
+        let conn = NodeConnection::connect(listener.local_addr().unwrap()).await.unwrap();
         ends.push(listener.accept().unwrap().0);
         let permit = permits.clone().try_acquire_owned().unwrap();
         idle.push(Pooled { conn, used: Instant::now(), _permit: permit });
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -158,8 +158,8 @@
         self.taken.borrow().iter().filter(|p| p.state().0 != State::Closing).count()
     }
 
-    /// Where places are short, lets go whoever says nothing, then the slowest heads, then as many of those that
-    /// have been idle longest as there are too many.
+    /// Where places are short, lets go whoever says nothing, then the slowest heads, then as many of those
+    /// that have been idle longest as there are too many.
     pub fn relieve(&self) {
         if !self.crowded() {
             return;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -6,9 +6,9 @@
 mod request_framing;
 mod server;
 
-pub use connection_pool::{End, Job, Peer, PoolLimits, Streamed};
-pub use node_connection::{Broken, Conn};
-pub use server::{Coming, Limits, Phase, Standing, serve};
+pub use connection_pool::{ConnectionPool, Exchange, ExchangeEvent, PoolLimits, StreamedBody, StreamingRule};
+pub use node_connection::{ExchangeError, NodeConnection};
+pub use server::{Admission, ConnectionLimits, LifecyclePhase, RequestContext, serve};
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 
 /// The body of an answer to a client.
-pub type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// A socket that several hold at once: it is read and written by whoever finds it ready.
 trait Shared {
@@ -81,21 +81,21 @@
 }
 
 /// A body that is there whole.
-pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// A body that keeps something alive until it is written or given up.
-pub struct Keeping<T>(pub AnswerBody, pub T);
+pub struct GuardedBody<T>(pub ResponseBody, pub T);
 
-impl<T: Unpin + Send + 'static> Keeping<T> {
+impl<T: Unpin + Send + 'static> GuardedBody<T> {
     /// The same as a plain body.
-    pub fn boxed(self) -> AnswerBody {
+    pub fn boxed(self) -> ResponseBody {
         self.boxed_unsync()
     }
 }
 
-impl<T: Unpin> Body for Keeping<T> {
+impl<T: Unpin> Body for GuardedBody<T> {
     type Data = Bytes;
     type Error = std::io::Error;
 
--- a/src/transport/node_connection.rs
+++ b/src/transport/node_connection.rs
@@ -20,16 +20,16 @@
 
 /// How an exchange came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum ExchangeError {
     /// The request's last byte was never written: the other side has not begun it.
     #[error("the connection broke before the request was written")]
-    BeforeSent,
+    NotSent,
     /// The request was written whole, or that is not known.
     #[error("the connection broke after the request was written")]
-    AfterSent,
+    ConnectionReset,
     /// The request was written whole, and what came back is no answer.
     #[error("the answer cannot be read")]
-    Unreadable,
+    MalformedResponse,
 }
 
 /// Whether an error means that what came cannot be read, rather than that the connection broke.
@@ -119,16 +119,16 @@
 }
 
 /// A connection that carries one request at a time. Dropping it closes it, whatever it is doing.
-pub struct Conn {
+pub struct NodeConnection {
     send: SendRequest<Full<Bytes>>,
     stream: Rc<TcpStream>,
     meter: Rc<Meter>,
     driver: JoinHandle<()>,
 }
 
-impl Conn {
+impl NodeConnection {
     /// Opens a connection. Must be called on a `LocalSet`.
-    pub async fn open(address: SocketAddr) -> io::Result<Conn> {
+    pub async fn connect(address: SocketAddr) -> io::Result<NodeConnection> {
         let stream = Rc::new(TcpStream::connect(address).await?);
         stream.set_nodelay(true)?;
         let meter = Rc::new(Meter::default());
@@ -137,13 +137,13 @@
             http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io).await.map_err(io::Error::other)?;
         // The error reaches whoever waits for the answer; here it only ends the driver.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) });
-        Ok(Conn { send, stream, meter, driver })
+        Ok(NodeConnection { send, stream, meter, driver })
     }
 
-    /// Whether it can take a request: nothing has come on it since the last answer, and the other side has not
-    /// closed it. The socket itself is asked, as hyper hears of it only in the runtime's next turn: a second
-    /// copy of the last answer would be taken for that to the next request.
-    pub fn usable(&self) -> bool {
+    /// Whether it can take a request: nothing has come on it since the last answer, and the other side has
+    /// not closed it. The socket itself is asked, as hyper hears of it only in the runtime's next turn: a
+    /// second copy of the last answer would be taken for that to the next request.
+    pub fn is_reusable(&self) -> bool {
         let quiet = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         self.send.is_ready() && peeked.is_err_and(|e| quiet(&e))
@@ -156,13 +156,16 @@
     }
 
     /// Sends the request once, and waits for the head of the answer.
-    pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Broken> {
+    pub async fn exchange(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, ExchangeError> {
         self.meter.begin(hyper::body::Body::size_hint(request.body()).lower() as usize);
         self.send.try_send_request(request).await.map_err(|failed| {
             match failed.message().is_some() || !self.meter.complete() {
-                true => Broken::BeforeSent,
-                false if unreadable(failed.error()) => Broken::Unreadable,
-                false => Broken::AfterSent,
+                true => ExchangeError::NotSent,
+                false if unreadable(failed.error()) => ExchangeError::MalformedResponse,
+                false => ExchangeError::ConnectionReset,
             }
         })
     }
@@ -190,7 +193,7 @@
     }
 }
 
-impl Drop for Conn {
+impl Drop for NodeConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
--- a/src/transport/request_framing.rs
+++ b/src/transport/request_framing.rs
@@ -18,8 +18,8 @@
 }
 
 /// Follows the heads that come on a client's connection. hyper drops `Content-Length` from a chunked request,
-/// so that it cannot be told from one that stated its length once; but a body whose length is stated twice may
-/// hide another request.
+/// so that it cannot be told from one that stated its length once; but a body whose length is stated twice
+/// may hide another request.
 #[derive(Debug, Default)]
 pub struct Framing {
     next: Next,
@@ -27,7 +27,7 @@
     /// What the head in hand states.
     length: Option<u64>,
     chunked: bool,
-    doubled: bool,
+    conflicting_length: bool,
 }
 
 impl Framing {
@@ -58,8 +58,8 @@
     }
 
     /// Whether the chunked request on this connection, always its last, states a length as well.
-    pub fn doubled(&self) -> bool {
-        self.doubled
+    pub fn conflicting_length(&self) -> bool {
+        self.conflicting_length
     }
 
     fn line_ended(&mut self, line: &[u8]) {
@@ -68,7 +68,7 @@
             (Next::Start, false) => self.next = Next::Head,
             (_, true) => {
                 let length = self.length.take();
-                self.doubled = self.chunked && length.is_some();
+                self.conflicting_length = self.chunked && length.is_some();
                 self.next = match length {
                     _ if self.chunked => Next::End,
                     None | Some(0) => Next::Start,
--- a/src/transport/request_framing/tests.rs
+++ b/src/transport/request_framing/tests.rs
@@ -5,7 +5,7 @@
     let (length, chunked) = ("Content-length: 3\r\n", "TRANSFER-ENCODING:chunked\r\n");
     let first =
         format!("\r\nPUT /a HTTP/1.1\r\n{length}\r\n\r\n\nGET /b HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(99));
-    for (heads, doubled) in [
+    for (heads, conflicting_length) in [
         (format!("{length}{chunked}"), true),
         (format!("{chunked}{length}"), true),
         (format!("{chunked}x: content-length: 3\r\n"), false),
@@ -17,7 +17,7 @@
             let mut framing = Framing::default();
             framing.feed(&text.as_bytes()[..cut]);
             framing.feed(&text.as_bytes()[cut..]);
-            assert_eq!(framing.doubled(), doubled, "{text:?} cut at {cut}");
+            assert_eq!(framing.conflicting_length(), conflicting_length, "{text:?} cut at {cut}");
         }
     }
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,6 +1,6 @@
 use super::connection_table::{Place, Places};
 use super::request_framing::Framing;
-use super::{AnswerBody, Keeping, Shared};
+use super::{GuardedBody, ResponseBody, Shared};
 use bytes::BytesMut;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, TRANSFER_ENCODING};
@@ -35,8 +35,8 @@
 const RELIEVE: Duration = Duration::from_millis(20);
 /// A client that reads nothing for so long is given up.
 const READ_TIME: Duration = Duration::from_secs(60);
-/// How often a client that sends on and on behind its request is looked at: the platform wants nothing sent on
-/// more than 0.1 s after a client has left.
+/// How often a client that sends on and on behind its request is looked at: the platform wants nothing sent
+/// on more than 0.1 s after a client has left.
 const LOOK: Duration = Duration::from_millis(50);
 
 /// A client's socket, and what has been read of it ahead of hyper. While a request is open, hyper reads no
@@ -143,61 +143,65 @@
 
 /// How far the program is on its way out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
-pub enum Phase {
+pub enum LifecyclePhase {
     /// In service.
     Serving,
     /// About to stop: still accepting.
-    Stopping,
+    Terminating,
     /// No longer accepting; who is connected is served on.
-    Connected,
+    Draining,
     /// Each answer closes its connection.
-    LastAnswers,
+    FinalResponses,
     /// Idle connections are closed as well.
-    Closing,
+    ClosingIdle,
 }
 
 /// How many connections a listener holds.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Served in full.
     pub served: usize,
     /// Beyond those: answered, but turned away.
-    pub turned_away: usize,
+    pub rejected: usize,
 }
 
 /// How a request came.
 #[derive(Clone, Copy, Debug)]
-pub struct Coming {
+pub struct RequestContext {
     /// What it finds.
-    pub standing: Standing,
+    pub admission: Admission,
     /// When the first of its bytes came.
-    pub began: Instant,
+    pub started_at: Instant,
     /// It comes in chunks and states the length of its body as well.
-    pub doubled: bool,
+    pub conflicting_length: bool,
 }
 
 /// What a request finds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Admission {
     /// Served.
-    Welcome,
+    Admitted,
     /// Too many connections: to be turned away.
-    Overload,
+    Overloaded,
 }
 
-/// Accepts and serves connections until the phase is past `Stopping` and all of them are closed. Must be
+/// Accepts and serves connections until the phase is past `Terminating` and all of them are closed. Must be
 /// called on a `LocalSet`.
-pub async fn serve<S, F>(listener: TcpListener, limits: Limits, phase: watch::Receiver<Phase>, service: S)
-where
-    S: Fn(Request<Incoming>, Coming) -> F + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+pub async fn serve<S, F>(
+    listener: TcpListener,
+    limits: ConnectionLimits,
+    phase: watch::Receiver<LifecyclePhase>,
+    service: S,
+) where
+    S: Fn(Request<Incoming>, RequestContext) -> F + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let service = Rc::new(service);
     let places = Rc::new(Places::new(limits.served));
-    let all = Arc::new(Semaphore::new(limits.served + limits.turned_away));
+    let all = Arc::new(Semaphore::new(limits.served + limits.rejected));
     let mut connections = JoinSet::new();
     let mut end = phase.clone();
-    let mut ended = pin!(async move { drop(end.wait_for(|p| *p > Phase::Stopping).await) });
+    let mut ended = pin!(async move { drop(end.wait_for(|p| *p > LifecyclePhase::Terminating).await) });
     loop {
         // Guards against silent connections by the hundred: they would hold all places, and whoever comes
         // with a request would wait in the kernel's queue.
@@ -238,11 +242,11 @@
     stream: TcpStream,
     place: &Arc<Place>,
     places: &Places,
-    mut phase: watch::Receiver<Phase>,
+    mut phase: watch::Receiver<LifecyclePhase>,
     service: Rc<S>,
 ) where
-    S: Fn(Request<Incoming>, Coming) -> F,
-    F: Future<Output = Response<AnswerBody>>,
+    S: Fn(Request<Incoming>, RequestContext) -> F,
+    F: Future<Output = Response<ResponseBody>>,
 {
     // Without it answers would only be slower.
     let _ = stream.set_nodelay(true);
@@ -250,18 +254,21 @@
     let client = Rc::new(Client { stream, ahead: RefCell::default(), framing: RefCell::default() });
     let respond = service_fn(|request| {
         let (began, serving) = Place::begin(place);
-        let standing = if places.welcomes(place) { Standing::Welcome } else { Standing::Overload };
+        let admission = if places.welcomes(place) { Admission::Admitted } else { Admission::Overloaded };
         // Whatever stands behind a body without a stated length may be the rest of it to others on the way.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let doubled = chunked && client.framing.borrow().doubled();
-        let answer = service(request, Coming { standing, began, doubled });
+        let conflicting_length = chunked && client.framing.borrow().conflicting_length();
+        let answer = service(request, RequestContext { admission, started_at: began, conflicting_length });
         let now = &now;
         Box::pin(async move {
             let mut answer = answer.await;
-            if chunked || standing == Standing::Overload || *now.borrow() >= Phase::LastAnswers {
+            if chunked
+                || admission == Admission::Overloaded
+                || *now.borrow() >= LifecyclePhase::FinalResponses
+            {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok::<_, Infallible>(answer.map(|body| Keeping(body, serving).boxed()))
+            Ok::<_, Infallible>(answer.map(|body| GuardedBody(body, serving).boxed()))
         })
     });
     let mut look = tokio::time::interval(LOOK);
@@ -280,10 +287,10 @@
                 true => client.poll_left(cx, &mut look),
                 false => Poll::Pending,
             }) => return,
-            _ = phase.wait_for(|p| *p == Phase::Closing), if !closing => {
+            _ = phase.wait_for(|p| *p == LifecyclePhase::ClosingIdle), if !closing => {
                 closing = true;
-                // hyper calls a connection idle on which half a request has come after another. That request is
-                // answered, and its answer closes the connection.
+                // hyper calls a connection idle on which half a request has come after another. That request
+                // is answered, and its answer closes the connection.
                 if !place.reading() {
                     Pin::new(&mut connection).graceful_shutdown();
                 }
@@ -292,7 +299,7 @@
         }
     }
     place.close();
-    let time = if *phase.borrow() >= Phase::LastAnswers { LINGER_STOPPING } else { LINGER };
+    let time = if *phase.borrow() >= LifecyclePhase::FinalResponses { LINGER_STOPPING } else { LINGER };
     // What a client sends after that is not worth waiting for.
     let _ = tokio::time::timeout(time, linger(&client.stream)).await;
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -3,21 +3,22 @@
 
 mod common;
 use common::*;
-use storage_gateway::scheduler::Scheduler;
 use storage_gateway::scheduler::*;
 
 /// The final answer among these actions: whether it is a refusal, and its advice.
 fn answer(actions: &[Action], id: u32) -> Option<(bool, u64)> {
     actions.iter().find_map(|a| match a {
-        Action::Refuse { request, retry_after } if *request == id => Some((true, *retry_after)),
-        Action::Fail { request } if *request == id => Some((false, 0)),
+        Action::Reject { request, retry_after_us } if request.0 == id => {
+            Some((true, retry_after_us.unwrap_or(0)))
+        }
+        Action::Fail { request } if request.0 == id => Some((false, 0)),
         _ => None,
     })
 }
 
-fn start(set: Settings, node: NodeEntry) -> Scheduler {
+fn start(set: SchedulerSettings, node: Endpoint) -> Scheduler {
     let mut s = Scheduler::new(set, 1, SECOND);
-    s.handle(SECOND, &[Event::Nodes(ListForm::Full, vec![node])], &mut Vec::new());
+    s.handle(SECOND, &[snapshot(vec![node])], &mut Vec::new());
     s
 }
 
@@ -27,24 +28,25 @@
     actions
 }
 
-fn ended(id: u32, ending: Ending, latency: u64) -> Event {
-    Event::Ended(outcome(id, "n0", ending, latency))
+fn ended(id: u32, ending: AttemptOutcome, latency: u64) -> Event {
+    Event::AttemptEnded(attempt_report(id, "n0", ending, latency))
 }
 
-fn live() -> NodeEntry {
-    entry("n0", 0, Readiness::Live, 0)
+fn live() -> Endpoint {
+    endpoint("n0", 0, EndpointState::Ready, 0)
 }
 
 #[test]
 fn no_node_in_service_for_the_data() {
     let mut s = start(settings(), live());
-    let came = at(&mut s, SECOND, &[Event::Arrived(arrival(1, 0, 7, 2 * SECOND))]);
+    let came = at(&mut s, SECOND, &[Event::RequestArrived(incoming_request(1, 0, 7, 2 * SECOND))]);
     assert!(answer(&came, 1).is_some_and(|(refused, advice)| refused && advice > 0), "{came:?}");
     // Held work is answered as soon as its node leaves.
-    let busy: Vec<_> = (10..30).map(|id| Event::Arrived(arrival(id, 0, 0, 2 * SECOND))).collect();
+    let busy: Vec<_> =
+        (10..30).map(|id| Event::RequestArrived(incoming_request(id, 0, 0, 2 * SECOND))).collect();
     assert!(answer(&at(&mut s, SECOND, &busy), 29).is_none(), "held for a slot");
-    let gone = vec![entry("n0", 0, Readiness::Gone, 0)];
-    let left = at(&mut s, SECOND + 1_000, &[Event::Nodes(ListForm::Changes, gone)]);
+    let gone = vec![endpoint("n0", 0, EndpointState::Removed, 0)];
+    let left = at(&mut s, SECOND + 1_000, &[delta(gone)]);
     assert!(answer(&left, 29).is_some_and(|(refused, advice)| refused && advice > 0), "{left:?}");
 }
 
@@ -53,14 +55,14 @@
     let mut s = start(settings(), live());
     for round in 0..7 {
         let now = (2 + 5 * round) * SECOND;
-        at(&mut s, now, &[Event::Arrived(arrival(round as u32, 0, 0, now + SECOND))]);
-        at(&mut s, now + 1, &[ended(round as u32, Ending::Unreachable, 1)]);
+        at(&mut s, now, &[Event::RequestArrived(incoming_request(round as u32, 0, 0, now + SECOND))]);
+        at(&mut s, now + 1, &[ended(round as u32, AttemptOutcome::ConnectFailed, 1)]);
     }
     let now = 32 * SECOND + 2;
-    let short = at(&mut s, now, &[Event::Arrived(arrival(50, 0, 0, now + SECOND / 4))]);
+    let short = at(&mut s, now, &[Event::RequestArrived(incoming_request(50, 0, 0, now + SECOND / 4))]);
     let (refused, advice) = answer(&short, 50).expect("answered at once");
     assert!(refused && advice > SECOND / 4, "to come when the pause is over: {advice}");
-    let long = at(&mut s, now, &[Event::Arrived(arrival(51, 0, 0, now + 5 * SECOND))]);
+    let long = at(&mut s, now, &[Event::RequestArrived(incoming_request(51, 0, 0, now + 5 * SECOND))]);
     assert_eq!(answer(&long, 51), None, "this one would still be sent");
 }
 
@@ -68,21 +70,21 @@
 fn attempts_spent_and_effects() {
     // Class 2 must not run twice; class 1 carries a key, class 0 may run again.
     for (class, ending, refused) in [
-        (0, Ending::Error, None),
-        (1, Ending::Error, None),
-        (2, Ending::Error, Some(false)),
-        (2, Ending::Reset, Some(false)),
-        (0, Ending::NotSent, Some(true)),
+        (0, AttemptOutcome::Failed, None),
+        (1, AttemptOutcome::Failed, None),
+        (2, AttemptOutcome::Failed, Some(false)),
+        (2, AttemptOutcome::ConnectionReset, Some(false)),
+        (0, AttemptOutcome::NotSent, Some(true)),
     ] {
         let mut s = start(settings(), live());
-        at(&mut s, SECOND, &[Event::Arrived(arrival(1, class, 0, 2 * SECOND))]);
+        at(&mut s, SECOND, &[Event::RequestArrived(incoming_request(1, class, 0, 2 * SECOND))]);
         let actions = at(&mut s, SECOND + 50_000, &[ended(1, ending, 50_000)]);
         assert_eq!(answer(&actions, 1).map(|a| a.0), refused, "class {class} after {ending:?}");
     }
-    let mut s = start(Settings { max_attempts: 1, ..settings() }, live());
-    at(&mut s, SECOND, &[Event::Arrived(arrival(1, 0, 0, 2 * SECOND))]);
+    let mut s = start(SchedulerSettings { max_attempts: Some(1), ..settings() }, live());
+    at(&mut s, SECOND, &[Event::RequestArrived(incoming_request(1, 0, 0, 2 * SECOND))]);
     assert!(
-        answer(&at(&mut s, SECOND + 1, &[ended(1, Ending::Full, 1)]), 1).is_some(),
+        answer(&at(&mut s, SECOND + 1, &[ended(1, AttemptOutcome::Rejected, 1)]), 1).is_some(),
         "its one attempt is spent"
     );
 }
@@ -90,18 +92,18 @@
 /// A keyed write that may have run waits for its node, and fails when a repeat would no longer be dropped.
 #[test]
 fn the_window_of_a_key_passes_while_held() {
-    let mut s = start(Settings { max_attempts: 0, budget: None, ..settings() }, live());
+    let mut s = start(SchedulerSettings { max_attempts: None, retry_budget: None, ..settings() }, live());
     let window = SECOND;
-    at(&mut s, SECOND, &[Event::Arrived(arrival(1, 1, 0, 3 * SECOND))]);
-    let reset = at(&mut s, SECOND + 1_000, &[ended(1, Ending::Reset, 1_000)]);
+    at(&mut s, SECOND, &[Event::RequestArrived(incoming_request(1, 1, 0, 3 * SECOND))]);
+    let reset = at(&mut s, SECOND + 1_000, &[ended(1, AttemptOutcome::ConnectionReset, 1_000)]);
     assert_eq!(answer(&reset, 1), None, "a repeat is still harmless");
     let mut last = None;
     for step in 1..400 {
         let now = SECOND + 1_000 + step * 5_000;
         // Something else always breaks before its turn comes.
-        let mut actions = at(&mut s, now, &[Event::Timer(0)]);
-        if actions.iter().any(|a| matches!(a, Action::Send { .. })) {
-            actions.extend(at(&mut s, now + 1, &[ended(1, Ending::Reset, 1)]));
+        let mut actions = at(&mut s, now, &[Event::TimerFired(0)]);
+        if actions.iter().any(|a| matches!(a, Action::SendAttempt { .. })) {
+            actions.extend(at(&mut s, now + 1, &[ended(1, AttemptOutcome::ConnectionReset, 1)]));
         }
         if let Some(a) = answer(&actions, 1) {
             last = Some((now, a.0));
@@ -114,14 +116,15 @@
 
 #[test]
 fn aim_passed_with_nothing_left_to_earn() {
-    for (late_worth, expected) in [(0.0, true), (0.1, false)] {
-        let mut set = Settings { max_attempts: 0, ..settings() };
-        set.classes[0].late_worth = late_worth;
+    for (late_weight_factor, expected) in [(0.0, true), (0.1, false)] {
+        let mut set = SchedulerSettings { max_attempts: None, ..settings() };
+        set.classes[0].late_weight_factor = late_weight_factor;
         let mut s = start(set, live());
-        let all: Vec<_> = (0..20).map(|id| Event::Arrived(arrival(id, 0, 0, 2 * SECOND))).collect();
+        let all: Vec<_> =
+            (0..20).map(|id| Event::RequestArrived(incoming_request(id, 0, 0, 2 * SECOND))).collect();
         at(&mut s, SECOND, &all);
-        let actions = at(&mut s, SECOND + 201_000, &[Event::Timer(0)]);
-        assert_eq!(answer(&actions, 19).is_some(), expected, "late worth {late_worth}");
+        let actions = at(&mut s, SECOND + 201_000, &[Event::TimerFired(0)]);
+        assert_eq!(answer(&actions, 19).is_some(), expected, "late weight factor {late_weight_factor}");
     }
 }
 
@@ -129,7 +132,13 @@
 fn the_limit_and_clients_that_left() {
     let mut s = start(settings(), live());
     let asks: Vec<_> = (0..60)
-        .map(|id| Event::Arrived(Arrival { plan: 0, volume: 3, ..arrival(id, 0, 0, 2 * SECOND) }))
+        .map(|id| {
+            Event::RequestArrived(IncomingRequest {
+                plan: 0,
+                volume: VolumeId(3),
+                ..incoming_request(id, 0, 0, 2 * SECOND)
+            })
+        })
         .collect();
     let actions = at(&mut s, 2 * SECOND - 500_000, &asks);
     let advice: Vec<u64> = (0..60).filter_map(|id| answer(&actions, id)).map(|a| a.1).collect();
@@ -137,7 +146,7 @@
     let mut spread = advice.clone();
     spread.dedup();
     assert!(spread.len() * 2 > advice.len(), "those that heed it do not come back at once");
-    let gone: Vec<_> = (0..60).map(Event::ClientGone).collect();
+    let gone: Vec<_> = (0..60).map(|id| Event::ClientDisconnected(RequestId(id))).collect();
     let after = at(&mut s, 2 * SECOND - 400_000, &gone);
     assert!((0..60).all(|id| answer(&after, id).is_none()), "nothing is owed to who has left");
 }
@@ -146,12 +155,17 @@
 /// refusal costs no more than that; what was sent once is seen through.
 #[test]
 fn unsent_work_is_given_up_at_half_its_time() {
-    let mut w = World::new(Settings { hosts: 1, cold: None, budget: None, ..settings() });
-    w.list_all(ListForm::Cached, &[live()]);
+    let mut w = World::new(SchedulerSettings {
+        gateway_count: 1,
+        slow_start: None,
+        retry_budget: None,
+        ..settings()
+    });
+    w.list_all(EndpointUpdate::Cached, &[live()]);
     w.step();
     let came = w.now;
     for id in 0..40 {
-        w.arrive(0, arrival(id, 0, 0, came + SECOND));
+        w.arrive(0, incoming_request(id, 0, 0, came + SECOND));
     }
     w.run(SECOND / 2 - 20_000);
     assert!(w.refused.is_empty(), "held while it could still leave in time: {:?}", w.refused);
--- a/tests/exceptions.rs
+++ b/tests/exceptions.rs
@@ -4,17 +4,22 @@
 use common::*;
 use storage_gateway::scheduler::*;
 
-fn world(hosts: usize) -> World {
-    let mut w = World::new(Settings { hosts, cold: None, budget: None, ..settings() });
-    let list: Vec<_> = (0..3).map(|s| entry(&format!("n{s}"), s, Readiness::Live, 0)).collect();
-    w.list_all(ListForm::Cached, &list);
+fn world(gateways: usize) -> World {
+    let mut w = World::new(SchedulerSettings {
+        gateway_count: gateways,
+        slow_start: None,
+        retry_budget: None,
+        ..settings()
+    });
+    let list: Vec<_> = (0..3).map(|s| endpoint(&format!("n{s}"), s, EndpointState::Ready, 0)).collect();
+    w.list_all(EndpointUpdate::Cached, &list);
     w.step();
     w
 }
 
 fn ask(w: &mut World, id: u32, class: usize, volume: u64) {
-    let expires = w.now + w.set.classes[class].deadline;
-    w.arrive(0, Arrival { volume, ..arrival(id, class, 0, expires) });
+    let expires = w.now + w.set.classes[class].deadline_us;
+    w.arrive(0, IncomingRequest { volume: VolumeId(volume), ..incoming_request(id, class, 0, expires) });
 }
 
 /// One request at a time, answered after the given time.
@@ -54,7 +59,7 @@
     warm_up(&mut w, 0, 20, 10_000);
     ask(&mut w, 100, 0, 100);
     w.step();
-    w.end(100, Ending::Reset);
+    w.end(100, AttemptOutcome::ConnectionReset);
     ask(&mut w, 101, 0, 101);
     w.serve(60_000, 10_000);
     assert!(w.requests[&101].finished && w.requests[&100].finished, "both well within the aim of 200 ms");
@@ -62,8 +67,8 @@
     ask(&mut w, 102, 0, 102);
     ask(&mut w, 103, 0, 103);
     w.step();
-    w.end(102, Ending::Ok);
-    w.end(103, Ending::Reset);
+    w.end(102, AttemptOutcome::Succeeded);
+    w.end(103, AttemptOutcome::ConnectionReset);
     (104..107).for_each(|id| ask(&mut w, id, 0, u64::from(id)));
     w.step();
     assert!(w.outstanding().len() > 1, "its window is as it was");
@@ -76,7 +81,7 @@
         ask(&mut w, id, 0, u64::from(id));
         w.step();
         for (id, _, _) in w.outstanding() {
-            w.end(id, Ending::Unreachable);
+            w.end(id, AttemptOutcome::ConnectFailed);
         }
         w.step();
     }
@@ -88,7 +93,7 @@
     let mut w = world(1);
     ask(&mut w, 0, 0, 0);
     w.step();
-    w.end(0, Ending::Unreachable);
+    w.end(0, AttemptOutcome::ConnectFailed);
     w.step();
     for id in 1..20 {
         ask(&mut w, id, 1, u64::from(id));
@@ -110,7 +115,7 @@
         ask(&mut w, id, 1, u64::from(id));
         for (id, _, at) in w.outstanding() {
             if id % 3 != 0 && at + 10_000 <= w.now {
-                w.end(id, Ending::Ok);
+                w.end(id, AttemptOutcome::Succeeded);
             }
         }
         w.run(10_000);
@@ -152,12 +157,12 @@
     let mut w = world(1);
     for id in 0..60 {
         let expires = w.now + SECOND;
-        w.arrive(0, arrival(id, 0, id % 3, expires));
+        w.arrive(0, incoming_request(id, 0, id % 3, expires));
         w.step();
         for _ in 0..60 {
             for (id, node, at) in w.outstanding() {
                 if w.now >= at + if &*node == "n0" { 100_000 } else { 10_000 } {
-                    w.end(id, Ending::Ok);
+                    w.end(id, AttemptOutcome::Succeeded);
                 }
             }
             w.step();
@@ -166,7 +171,7 @@
     let before = w.sends.len();
     for id in 100..120 {
         let expires = w.now + SECOND;
-        w.arrive(0, Arrival { shard: None, ..arrival(id, 1, 0, expires) });
+        w.arrive(0, IncomingRequest { shard: None, ..incoming_request(id, 1, 0, expires) });
         w.step();
         w.serve(20_000, 10_000);
     }
@@ -176,30 +181,47 @@
 
 #[test]
 fn odd_settings_and_requests_do_no_harm() {
-    let zero = Settings {
-        classes: vec![class(0, 0, 0.0, Repeat::Safe)],
-        plans: vec![Plan { rate: 0.0, limit: 1e-9, ..settings().plans[0].clone() }],
-        tick: 0,
-        answer_grace: 0,
-        hosts: 1,
-        mean_units: 0.0,
-        most_units: 0.0,
-        cold: Some(ColdRule { bears: 0.0, span: 0, from: 0.0, warm_up: 0, multiple: 0.0 }),
+    let limit = RateLimit { rate: 1e-9, ..settings().plans[0].rate_limit.unwrap() };
+    let zero = SchedulerSettings {
+        classes: vec![class(0, 0, 0.0, Idempotency::Idempotent)],
+        plans: vec![ServicePlan {
+            provisioned_rate: 0.0,
+            rate_limit: Some(limit),
+            ..settings().plans[0].clone()
+        }],
+        batch_interval_us: 0,
+        answer_grace_us: 0,
+        gateway_count: 1,
+        mean_request_units: 0.0,
+        max_request_units: 0.0,
+        slow_start: Some(SlowStartPolicy {
+            guaranteed_units: 0.0,
+            window_us: 0,
+            initial_capacity: 0.0,
+            warm_up_us: 0,
+            overload_factor: 0.0,
+        }),
         ..settings()
     };
-    for set in [zero, Settings { classes: vec![], plans: vec![], ..settings() }] {
+    for set in [zero, SchedulerSettings { classes: vec![], plans: vec![], ..settings() }] {
         let mut s = storage_gateway::scheduler::Scheduler::new(set, 1, 10);
         let mut actions = Vec::new();
-        let a = Arrival { class: 0, plan: 0, units: 0.0, volume_hosts: 0.0, ..arrival(1, 0, 0, 5) };
-        let odd = Arrival { request: 2, class: 9, plan: 9, ..a.clone() };
-        let nodes = vec![entry("n0", 0, Readiness::Live, u64::MAX / 4)];
+        let a = IncomingRequest {
+            class: 0,
+            plan: 0,
+            units: 0.0,
+            volume_gateways: 0.0,
+            ..incoming_request(1, 0, 0, 5)
+        };
+        let odd = IncomingRequest { id: RequestId(2), class: 9, plan: 9, ..a.clone() };
+        let nodes = vec![endpoint("n0", 0, EndpointState::Ready, u64::MAX / 4)];
         let events =
-            [Event::Arrived(a), Event::Nodes(ListForm::Full, nodes), Event::Arrived(odd), Event::Timer(3)];
+            [Event::RequestArrived(a), snapshot(nodes), Event::RequestArrived(odd), Event::TimerFired(3)];
         s.handle(10, &events, &mut actions);
-        s.handle(10_000_000, &[Event::Timer(0)], &mut actions);
+        s.handle(10_000_000, &[Event::TimerFired(0)], &mut actions);
         let answered = |id| {
             actions.iter().any(|x| match x {
-                Action::Refuse { request, .. } | Action::Fail { request } => *request == id,
+                Action::Reject { request, .. } | Action::Fail { request } => request.0 == id,
                 _ => false,
             })
         };
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -18,8 +18,8 @@
 
 struct Node {
     listener: Option<TcpListener>,
-    /// While it is full: the connection that fills its queue, so that the system drops whatever else comes, and
-    /// who tries finds it up only at a later try, a second on.
+    /// While it is full: the connection that fills its queue, so that the system drops whatever else comes,
+    /// and who tries finds it up only at a later try, a second on.
     filler: Option<TcpStream>,
     /// The latest connection; earlier ones stay open, as a silent machine's would.
     streams: Vec<TcpStream>,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,20 +4,20 @@
 use common::*;
 use storage_gateway::scheduler::*;
 
-fn live(n: u32) -> Vec<NodeEntry> {
-    (0..n).map(|s| entry(&format!("n{s}"), s, Readiness::Live, 0)).collect()
+fn live(n: u32) -> Vec<Endpoint> {
+    (0..n).map(|s| endpoint(&format!("n{s}"), s, EndpointState::Ready, 0)).collect()
 }
 
 fn world() -> World {
     let mut w = World::new(settings());
-    w.list_all(ListForm::Cached, &live(3));
+    w.list_all(EndpointUpdate::Cached, &live(3));
     w.step();
     w
 }
 
 fn ask(w: &mut World, id: u32, class: usize, shard: u32) {
-    let expires = w.now + w.set.classes[class].deadline;
-    w.arrive(0, arrival(id, class, shard, expires));
+    let expires = w.now + w.set.classes[class].deadline_us;
+    w.arrive(0, incoming_request(id, class, shard, expires));
 }
 
 #[test]
@@ -39,11 +39,11 @@
     w.step();
     w.run(SECOND);
     assert!(w.requests[&1].finished);
-    w.hear(0, Event::ClientGone(1));
-    w.hear(0, Event::Ended(outcome(1, "n0", Ending::Reset, 1)));
-    w.hear(0, Event::Ended(outcome(77, "unknown", Ending::Ok, 1)));
-    w.hear(0, Event::Streaming(1));
-    w.hear(0, Event::Timer(123));
+    w.hear(0, Event::ClientDisconnected(RequestId(1)));
+    w.hear(0, Event::AttemptEnded(attempt_report(1, "n0", AttemptOutcome::ConnectionReset, 1)));
+    w.hear(0, Event::AttemptEnded(attempt_report(77, "unknown", AttemptOutcome::Succeeded, 1)));
+    w.hear(0, Event::ResponseStarted(RequestId(1)));
+    w.hear(0, Event::TimerFired(123));
     w.run(SECOND);
     assert_eq!(w.sends.len(), 1);
 }
@@ -54,8 +54,8 @@
     ask(&mut w, 1, 2, 0);
     ask(&mut w, 2, 2, 1);
     w.step();
-    w.end(1, Ending::Full);
-    w.end(2, Ending::Reset);
+    w.end(1, AttemptOutcome::Rejected);
+    w.end(2, AttemptOutcome::ConnectionReset);
     w.run(2 * SECOND);
     assert_eq!(w.requests[&1].attempts.len(), 2, "turned away unseen: goes again");
     assert_eq!(w.requests[&2].attempts.len(), 1);
@@ -67,31 +67,36 @@
     let mut w = world();
     ask(&mut w, 1, 1, 0);
     w.step();
-    w.end(1, Ending::Error);
+    w.end(1, AttemptOutcome::Failed);
     w.run(100_000);
     assert_eq!(w.requests[&1].attempts.len(), 2, "inside the window it goes again");
     let mut w = world();
     ask(&mut w, 1, 1, 0);
     w.step();
-    w.list_all(ListForm::Changes, &[entry("n0", 0, Readiness::Draining, 0)]);
-    w.end(1, Ending::Error);
+    w.list_all(EndpointUpdate::Delta, &[endpoint("n0", 0, EndpointState::Draining, 0)]);
+    w.end(1, AttemptOutcome::Failed);
     w.run(1_200_000);
-    w.list_all(ListForm::Changes, &[entry("n9", 0, Readiness::Live, 0)]);
+    w.list_all(EndpointUpdate::Delta, &[endpoint("n9", 0, EndpointState::Ready, 0)]);
     w.run(SECOND);
     assert_eq!(w.requests[&1].attempts.len(), 1, "past the window it does not");
     assert!(w.failed.contains(&1));
 }
 
 /// A node that drains, told in this form after these many failed calls, and then one request every 100 ms.
-fn drained(form: ListForm, failed: usize, others: &[NodeEntry]) -> World {
-    let mut w = World::new(Settings { drain_grace: 2 * SECOND, cold: None, budget: None, ..settings() });
+fn drained(update: UpdateKind, failed: usize, others: &[Endpoint]) -> World {
+    let mut w = World::new(SchedulerSettings {
+        drain_grace_us: 2 * SECOND,
+        slow_start: None,
+        retry_budget: None,
+        ..settings()
+    });
     w.drain_grace = 2 * SECOND;
-    w.list_all(ListForm::Full, &live(3));
-    (0..failed).for_each(|_| w.list_all(ListForm::Failed, &[]));
+    w.list_all(EndpointUpdate::Snapshot, &live(3));
+    (0..failed).for_each(|_| w.fail_polls());
     w.step();
-    let mut news = vec![entry("n0", 0, Readiness::Draining, 0)];
+    let mut news = vec![endpoint("n0", 0, EndpointState::Draining, 0)];
     news.extend_from_slice(others);
-    w.list_all(form, &news);
+    w.list_all(update, &news);
     for id in 0..30 {
         ask(&mut w, id, 0, 0);
         w.serve(100_000, 10_000);
@@ -101,24 +106,24 @@
 
 #[test]
 fn a_draining_node_serves_its_shard_within_the_grace() {
-    let w = drained(ListForm::Changes, 0, &[]);
+    let w = drained(EndpointUpdate::Delta, 0, &[]);
     assert!((12..20).contains(&w.sends.len()), "until a connection could be late: {}", w.sends.len());
-    let w = drained(ListForm::Changes, 0, &[entry("n9", 0, Readiness::Live, 0)]);
+    let w = drained(EndpointUpdate::Delta, 0, &[endpoint("n9", 0, EndpointState::Ready, 0)]);
     assert!(w.sends.iter().all(|s| *s.2 == *"n9"), "its successor takes the work");
     // The news may have been told long before it came: the grace is past for all that is known.
-    assert!(drained(ListForm::Changes, 1, &[]).sends.is_empty());
-    assert!(drained(ListForm::Full, 0, &[]).sends.is_empty());
+    assert!(drained(EndpointUpdate::Delta, 1, &[]).sends.is_empty());
+    assert!(drained(EndpointUpdate::Snapshot, 0, &[]).sends.is_empty());
 }
 
 #[test]
 fn a_draining_node_that_turns_work_away_is_left() {
-    let mut w = World::new(Settings { drain_grace: 2 * SECOND, ..settings() });
+    let mut w = World::new(SchedulerSettings { drain_grace_us: 2 * SECOND, ..settings() });
     w.drain_grace = 2 * SECOND;
-    w.list_all(ListForm::Full, &live(3));
-    w.list_all(ListForm::Changes, &[entry("n0", 0, Readiness::Draining, 0)]);
+    w.list_all(EndpointUpdate::Snapshot, &live(3));
+    w.list_all(EndpointUpdate::Delta, &[endpoint("n0", 0, EndpointState::Draining, 0)]);
     ask(&mut w, 1, 0, 0);
     w.step();
-    w.end(1, Ending::Full);
+    w.end(1, AttemptOutcome::Rejected);
     w.step();
     assert_eq!(w.refused, [1], "answered at once, not tried again");
 }
@@ -126,16 +131,16 @@
 #[test]
 fn draining_and_gone_nodes_get_nothing_new() {
     let mut w = world();
-    w.list_all(ListForm::Changes, &[entry("n0", 0, Readiness::Draining, 0)]);
-    w.list_all(ListForm::Changes, &[entry("n1", 1, Readiness::Gone, 0)]);
+    w.list_all(EndpointUpdate::Delta, &[endpoint("n0", 0, EndpointState::Draining, 0)]);
+    w.list_all(EndpointUpdate::Delta, &[endpoint("n1", 1, EndpointState::Removed, 0)]);
     ask(&mut w, 1, 0, 0);
     ask(&mut w, 2, 0, 1);
     ask(&mut w, 3, 0, 2);
     w.step();
     assert_eq!(w.sends.iter().map(|s| s.1).collect::<Vec<_>>(), [3]);
     // A full list without the node says the same; a failed call says nothing.
-    w.list_all(ListForm::Full, &live(2));
-    w.hear(0, Event::Nodes(ListForm::Failed, vec![]));
+    w.list_all(EndpointUpdate::Snapshot, &live(2));
+    w.hear(0, poll_failed());
     ask(&mut w, 4, 0, 2);
     ask(&mut w, 5, 0, 0);
     w.run(10 * TICK);
@@ -147,10 +152,10 @@
 fn a_cold_node_gets_no_more_than_it_bears() {
     let mut w = world();
     let born = w.now;
-    w.list_all(ListForm::Changes, &[entry("n0", 0, Readiness::Live, born)]);
+    w.list_all(EndpointUpdate::Delta, &[endpoint("n0", 0, EndpointState::Ready, born)]);
     for id in 0..600 {
         let expires = w.now + SECOND;
-        w.arrive((id % 3) as usize, arrival(id, 0, 0, expires));
+        w.arrive((id % 3) as usize, incoming_request(id, 0, 0, expires));
         w.serve(24_000, 10_000);
     }
     let first: f64 = w.sends.iter().filter(|s| s.0 < born + SECOND).count() as f64 * 2.0;
@@ -165,16 +170,16 @@
     let mut w = world();
     for id in 1..=3 {
         let expires = w.now + 2_500_000;
-        w.arrive(0, Arrival { key: Some(5), ..arrival(id, 2, id - 1, expires) });
+        w.arrive(0, IncomingRequest { block: Some(BlockId(5)), ..incoming_request(id, 2, id - 1, expires) });
     }
     w.step();
     assert_eq!(w.sends.len(), 1);
-    w.end(1, Ending::Reset);
+    w.end(1, AttemptOutcome::ConnectionReset);
     w.run(50_000);
     assert_eq!(w.sends.len(), 1, "the key rests after an attempt that may still run");
     w.run(100_000);
     assert_eq!(w.sends.len(), 2);
-    w.end(2, Ending::Ok);
+    w.end(2, AttemptOutcome::Succeeded);
     w.run(10_000);
     assert_eq!(w.sends.len(), 3, "after an answer it does not");
 }
@@ -188,7 +193,7 @@
         }
         for _ in 0..100 {
             for (id, _, _) in w.outstanding() {
-                w.end(id, Ending::Error);
+                w.end(id, AttemptOutcome::Failed);
             }
             w.step();
         }
@@ -197,17 +202,20 @@
     assert!(further >= 8, "the budget is used: {further}");
 }
 
-/// One volume asked far beyond its limit, through hosts of which one is killed again and again.
+/// One volume asked far beyond its limit, through gateways of which one is killed again and again.
 #[test]
 fn a_limit_holds_over_all_hosts_and_restarts() {
     let mut w = world();
     let mut id = 0;
     for round in 0..400 {
-        for host in [0, 0, 1, 2] {
+        for gateway in [0, 0, 1, 2] {
             id += 1;
             let expires = w.now + SECOND;
-            let a = arrival(id, 0, id % 3, expires);
-            w.arrive(host, Arrival { plan: 0, volume: 7, volume_hosts: 3.0, units: 4.0, ..a });
+            let a = incoming_request(id, 0, id % 3, expires);
+            w.arrive(
+                gateway,
+                IncomingRequest { plan: 0, volume: VolumeId(7), volume_gateways: 3.0, units: 4.0, ..a },
+            );
         }
         if round % 60 == 59 {
             w.restart(0, &live(3));
@@ -224,7 +232,15 @@
     let mut w = world();
     for id in 0..60 {
         let expires = w.now + SECOND;
-        w.arrive(0, Arrival { plan: 0, volume: 7, volume_hosts: 3.0, ..arrival(id, 0, 0, expires) });
+        w.arrive(
+            0,
+            IncomingRequest {
+                plan: 0,
+                volume: VolumeId(7),
+                volume_gateways: 3.0,
+                ..incoming_request(id, 0, 0, expires)
+            },
+        );
     }
     w.step();
     assert!(w.refused.len() > 30, "{} refused at once", w.refused.len());
@@ -232,11 +248,11 @@
 
 #[test]
 fn discovery_on_request_is_watched_and_asked_again() {
-    let mut w = World::new(Settings { list_on_request: true, ..settings() });
-    w.list_all(ListForm::Cached, &live(3));
+    let mut w = World::new(SchedulerSettings { endpoints_on_request: true, ..settings() });
+    w.list_all(EndpointUpdate::Cached, &live(3));
     w.step();
-    assert_eq!(w.watches.len(), 3, "each host subscribes at its start");
-    w.hear(0, Event::Nodes(ListForm::Failed, vec![]));
+    assert_eq!(w.watches.len(), 3, "each gateway subscribes at its start");
+    w.hear(0, poll_failed());
     w.run(5 * SECOND);
     assert_eq!(w.watches.len(), 4, "a failed call is made again, once");
     ask(&mut w, 1, 0, 0);
--- a/tests/scheduler_purity.rs
+++ b/tests/scheduler_purity.rs
@@ -1,5 +1,5 @@
-//! The scheduler is a pure function of its settings, its seed and its events: nothing under `src/scheduler/` may
-//! reach for I/O, a clock, threads or an asynchronous runtime, and its lines keep to rustfmt's width.
+//! The scheduler is a pure function of its settings, its seed and its events: nothing under `src/scheduler/`
+//! may reach for I/O, a clock, threads or an asynchronous runtime, and its lines keep to rustfmt's width.
 
 use std::path::{Path, PathBuf};
 
