--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -1,4 +1,4 @@
-use super::inventory::{Mail, ReloadError};
+use super::inventory::{InventoryCommand, ReloadError};
 use super::metrics::GatewayMetrics;
 use super::tenants::{Tenants, TokenHash, hash};
 use crate::protocol::admin::{self, AdminRequest, AdminRequestError, TenantDefinition};
@@ -15,15 +15,15 @@
 const BODY_MOST: usize = 64 * 1024;
 
 /// The administration's front.
-pub struct Admin {
+pub struct AdminFrontend {
     /// The hash of its token.
     pub token: TokenHash,
     /// The tenants.
     pub tenants: Tenants,
     /// The list's actor.
-    pub inventory: mpsc::UnboundedSender<Mail>,
-    /// The counters.
-    pub counters: Rc<GatewayMetrics>,
+    pub inventory: mpsc::UnboundedSender<InventoryCommand>,
+    /// The metrics.
+    pub metrics: Rc<GatewayMetrics>,
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
 }
@@ -34,7 +34,7 @@
     (status, json!({"error": text.into()}))
 }
 
-impl Admin {
+impl AdminFrontend {
     /// Answers one request.
     pub async fn answer(
         &self,
@@ -70,7 +70,7 @@
                 LifecyclePhase::Serving => (StatusCode::OK, json!({"status": "serving"})),
                 _ => (StatusCode::SERVICE_UNAVAILABLE, json!({"status": "stopping"})),
             },
-            AdminRequest::Counters => (StatusCode::OK, json!(self.counters.by_name())),
+            AdminRequest::Counters => (StatusCode::OK, json!(self.metrics.by_name())),
             AdminRequest::Tenants => (StatusCode::OK, json!({"tenants": self.tenants.views()})),
             AdminRequest::Tenant(name) => match self.tenants.views().into_iter().find(|t| t.name == name) {
                 Some(tenant) => (StatusCode::OK, json!(tenant)),
@@ -81,13 +81,13 @@
                 (StatusCode::OK, json!({"removed": name}))
             }
             AdminRequest::DeleteTenant(_) => error(StatusCode::NOT_FOUND, "no such tenant"),
-            AdminRequest::Nodes => match self.ask(Mail::Views).await {
+            AdminRequest::Nodes => match self.ask(InventoryCommand::Views).await {
                 Some(nodes) => (StatusCode::OK, json!({"nodes": nodes})),
                 None => stopping(),
             },
             AdminRequest::Drain(name) => self.drain(name, true).await,
             AdminRequest::Return(name) => self.drain(name, false).await,
-            AdminRequest::Reload => match self.ask(Mail::Reload).await {
+            AdminRequest::Reload => match self.ask(InventoryCommand::Reload).await {
                 Some(Ok(nodes)) => (StatusCode::OK, json!({"nodes": nodes})),
                 Some(Err(e)) => {
                     let places =
@@ -100,7 +100,7 @@
         }
     }
 
-    async fn ask<T>(&self, mail: impl FnOnce(oneshot::Sender<T>) -> Mail) -> Option<T> {
+    async fn ask<T>(&self, mail: impl FnOnce(oneshot::Sender<T>) -> InventoryCommand) -> Option<T> {
         let (sender, done) = oneshot::channel();
         self.inventory.send(mail(sender)).ok()?;
         done.await.ok()
@@ -108,7 +108,7 @@
 
     async fn drain(&self, name: String, drain: bool) -> Said {
         let state = if drain { "draining" } else { "as in the inventory" };
-        match self.ask(|done| Mail::Drain(name.clone(), drain, done)).await {
+        match self.ask(|done| InventoryCommand::Drain(name.clone(), drain, done)).await {
             Some(true) => (StatusCode::OK, json!({"node": name, "state": state})),
             Some(false) => error(StatusCode::NOT_FOUND, "no such node"),
             None => stopping(),
--- a/src/gateway/config/object.rs
+++ b/src/gateway/config/object.rs
@@ -2,7 +2,7 @@
 
 use super::ConfigError;
 use crate::gateway::inventory;
-use crate::gateway::object_frontend::Figures;
+use crate::gateway::object_frontend::ObjectLimits;
 use crate::gateway::tenants::{Tenants, TokenHash, decode_hash};
 use crate::protocol::admin::TenantDefinition;
 use crate::protocol::inventory::InventoryNode;
@@ -135,7 +135,7 @@
 }
 
 /// What an operator's file sets up.
-pub struct Operator {
+pub struct ObjectGatewayConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where the administration listens.
@@ -148,8 +148,8 @@
     pub memory: u64,
     /// How long storage nodes keep an idle connection.
     pub idle: Duration,
-    /// The object front's figures.
-    pub figures: Figures,
+    /// The object front's limits.
+    pub limits: ObjectLimits,
     /// What signs upload ids.
     pub key: UploadKey,
     /// The inventory's file.
@@ -162,17 +162,18 @@
     pub settings: SchedulerSettings,
 }
 
-impl Operator {
+impl ObjectGatewayConfig {
     /// Reads the file and what it names.
-    pub fn load(path: &Path) -> Result<Operator, ConfigError> {
+    pub fn load(path: &Path) -> Result<ObjectGatewayConfig, ConfigError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
             .map_err(|cause| ConfigError::Unreadable { path: name.clone(), cause })?;
         let folder = path.parent().unwrap_or(Path::new("."));
-        Operator::decode(&text, folder).map_err(|cause| ConfigError::Malformed { path: name, cause })
+        ObjectGatewayConfig::decode(&text, folder)
+            .map_err(|cause| ConfigError::Malformed { path: name, cause })
     }
 
-    fn decode(text: &str, folder: &Path) -> Result<Operator, String> {
+    fn decode(text: &str, folder: &Path) -> Result<ObjectGatewayConfig, String> {
         let text: Text = toml::from_str(text).map_err(|e| {
             // One line: the place, without the excerpt that the parser draws.
             let line = e.span().map_or(1, |s| text[..s.start].matches('\n').count() + 1);
@@ -213,14 +214,14 @@
         let hosts = inventory::read(&path).map_err(|e| e.to_string())?;
         let plans = text.plan.iter().map(|p| p.name.clone()).collect();
         let settings = settings(&text);
-        Ok(Operator {
+        Ok(ObjectGatewayConfig {
             listen: text.gateway.listen,
             admin: text.admin.listen,
             admin_token,
             sockets: text.gateway.sockets,
             memory: o.memory,
             idle: Duration::from_millis(o.node_idle_ms),
-            figures: Figures {
+            limits: ObjectLimits {
                 body_most: o.body_most,
                 buffer: o.buffer,
                 stall: Duration::from_millis(o.stall_ms),
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -35,7 +35,7 @@
 }
 
 /// What the platform tells a gateway.
-pub struct Config {
+pub struct PlatformConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery listens.
@@ -56,17 +56,17 @@
     pub settings: SchedulerSettings,
 }
 
-impl Config {
+impl PlatformConfig {
     /// Reads the file that `GW_CONFIG` names.
-    pub fn load() -> Result<Config, ConfigError> {
+    pub fn load() -> Result<PlatformConfig, ConfigError> {
         let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::None)?;
         match std::fs::read(&path) {
-            Ok(text) => Config::decode(&text).map_err(|cause| ConfigError::Malformed { path, cause }),
+            Ok(text) => PlatformConfig::decode(&text).map_err(|cause| ConfigError::Malformed { path, cause }),
             Err(cause) => Err(ConfigError::Unreadable { path, cause }),
         }
     }
 
-    fn decode(text: &[u8]) -> Result<Config, String> {
+    fn decode(text: &[u8]) -> Result<PlatformConfig, String> {
         let wire: WireConfig = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         // A list that cannot be read is as good as none: discovery will tell.
         let known = wire.known.and_then(|k| endpoint_list::decode(k.get().as_bytes()).ok());
@@ -74,7 +74,7 @@
         if set.classes.is_empty() || set.plans.is_empty() {
             return Err("the settings name no class or no plan".into());
         }
-        Ok(Config {
+        Ok(PlatformConfig {
             listen: wire.listen,
             discovery: wire.discovery,
             seed: u64::from_str_radix(&wire.seed, 16).map_err(|_| "the seed is not a hex number")?,
--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -34,7 +34,7 @@
 }
 
 /// What the list's actor needs.
-pub struct ListActor<P, R> {
+pub struct EndpointWatcher<P, R> {
     /// Where discovery listens; it may move.
     pub discovery: watch::Receiver<SocketAddr>,
     /// How long a watch waits for news.
@@ -46,10 +46,10 @@
     /// The core.
     pub router: RouterHandle<P, R>,
     /// What it counts.
-    pub counters: Rc<GatewayMetrics>,
+    pub metrics: Rc<GatewayMetrics>,
 }
 
-impl<P, R> ListActor<P, R> {
+impl<P, R> EndpointWatcher<P, R> {
     /// Tells the list that is known from before, then watches whenever the core asks for it, until a call
     /// fails: when to ask anew is the scheduler's to say. When discovery moves, the watch moves at once: the
     /// old address may still hold the call, but it tells nothing more, and what the new one has to tell
@@ -102,22 +102,22 @@
         conn: &mut Option<NodeConnection>,
         version: Option<u64>,
     ) -> Result<EndpointList, Lost> {
-        self.counters.list_calls.increment();
+        self.metrics.list_calls.increment();
         let wait = if version.is_some() { self.wait + ANSWER } else { ANSWER };
         let body = match tokio::time::timeout(wait, self.fetch(conn, version)).await {
             Ok(Some(body)) => body,
             lost => {
-                self.counters.list_failures.increment();
+                self.metrics.list_failures.increment();
                 return Err(if lost.is_err() && version.is_some() { Lost::Silent } else { Lost::Failed });
             }
         };
         match endpoint_list::decode(&body) {
             Ok(list) => {
-                self.counters.list_entries.add(list.endpoints.len() as u64);
+                self.metrics.list_entries.add(list.endpoints.len() as u64);
                 Ok(list)
             }
             Err(e) => {
-                self.counters.list_malformed.increment();
+                self.metrics.list_malformed.increment();
                 eprintln!("storage-gateway: a list that cannot be read, the one before is kept: {e}");
                 Err(Lost::Failed)
             }
--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory.rs
@@ -36,9 +36,9 @@
 
 /// The racks that have been named, numbered as the scheduler's shards. A rack keeps its number.
 #[derive(Clone, Default)]
-pub struct Racks(Rc<RefCell<Vec<String>>>);
+pub struct RackRegistry(Rc<RefCell<Vec<String>>>);
 
-impl Racks {
+impl RackRegistry {
     /// The number of a rack.
     pub fn shard(&self, rack: &str) -> ShardId {
         let mut all = self.0.borrow_mut();
@@ -51,7 +51,7 @@
 }
 
 /// What the list's actor is asked.
-pub enum Mail {
+pub enum InventoryCommand {
     /// Read the file anew: how many hosts it names.
     Reload(oneshot::Sender<Result<usize, ReloadError>>),
     /// Drain a node, or put it back: whether there is such a node.
@@ -67,7 +67,7 @@
     /// What it holds.
     pub hosts: Vec<InventoryNode>,
     /// The racks.
-    pub racks: Racks,
+    pub racks: RackRegistry,
     /// Who is told.
     pub nodes: NodeRegistry,
     /// The core.
@@ -76,13 +76,13 @@
 
 impl<P, R> InventoryActor<P, R> {
     /// Tells the inventory, and its changes.
-    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<Mail>) {
+    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<InventoryCommand>) {
         let mut drained = BTreeSet::new();
         self.tell(&drained);
         while let Some(mail) = mailbox.recv().await {
             // Whoever asked may have left: then nobody is to be told.
             match mail {
-                Mail::Reload(done) => {
+                InventoryCommand::Reload(done) => {
                     let read = read(&self.path).map(|hosts| {
                         self.hosts = hosts;
                         drained.retain(|name| self.hosts.iter().any(|h| h.name == *name));
@@ -91,7 +91,7 @@
                     });
                     let _ = done.send(read);
                 }
-                Mail::Drain(name, drain, done) => {
+                InventoryCommand::Drain(name, drain, done) => {
                     let known = self.hosts.iter().any(|h| h.name == name);
                     if drain && known {
                         drained.insert(name);
@@ -101,7 +101,7 @@
                     self.tell(&drained);
                     let _ = done.send(known);
                 }
-                Mail::Views(done) => {
+                InventoryCommand::Views(done) => {
                     let _ = done.send(self.hosts.iter().map(|h| view(h, &drained)).collect());
                 }
             }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The program: configuration, signals, counters, and the wiring of the actors.
+//! The program: configuration, signals, metrics, and the wiring of the actors.
 
 mod admin_frontend;
 mod config;
@@ -8,11 +8,12 @@
 mod node_registry;
 mod object_frontend;
 mod platform_frontend;
+mod shutdown;
 mod startup;
 mod tenants;
 
-use config::object::Operator;
-use config::platform::Config;
+use config::object::ObjectGatewayConfig;
+use config::platform::PlatformConfig;
 use std::path::Path;
 use std::process::ExitCode;
 
@@ -25,8 +26,8 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let ran = match arguments.as_slice() {
-        [] => Config::load().map(startup::platform),
-        ["--config", file] => Operator::load(Path::new(file)).map(startup::operator),
+        [] => PlatformConfig::load().map(startup::platform),
+        ["--config", file] => ObjectGatewayConfig::load(Path::new(file)).map(startup::operator),
         ["--help" | "-h"] => {
             println!("{USAGE}");
             return ExitCode::SUCCESS;
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -1,4 +1,4 @@
-use crate::gateway::inventory::Racks;
+use crate::gateway::inventory::RackRegistry;
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::node_registry::NodeRegistry;
 use crate::gateway::platform_frontend::{ending, report_of};
@@ -55,9 +55,9 @@
     Streamed(Response<StreamedBody>),
 }
 
-/// The figures of the front.
+/// The limits of the front.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct ObjectLimits {
     /// The largest body taken.
     pub body_most: u64,
     /// The largest answer that is read whole, and so may be tried again, before the client gets any of it.
@@ -75,7 +75,7 @@
 }
 
 /// The front for the object API.
-pub struct Front {
+pub struct ObjectFrontend {
     /// The core.
     pub router: RouterHandle<Payload, Reply>,
     /// Its clock.
@@ -83,15 +83,15 @@
     /// The tenants.
     pub tenants: Tenants,
     /// The racks.
-    pub racks: Racks,
+    pub racks: RackRegistry,
     /// What signs upload ids.
     pub key: UploadKey,
-    /// The figures.
-    pub figures: Figures,
+    /// The limits.
+    pub limits: ObjectLimits,
     /// A permit for each KiB that bodies may take up in all.
     pub memory: Arc<Semaphore>,
     /// What it counts.
-    pub counters: Rc<GatewayMetrics>,
+    pub metrics: Rc<GatewayMetrics>,
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
     /// The next request's id.
@@ -105,7 +105,7 @@
     (fault, None)
 }
 
-impl Front {
+impl ObjectFrontend {
     /// Answers one request.
     pub async fn answer(
         &self,
@@ -124,7 +124,7 @@
             }
             (client_request::READY, _) => Err(plain(ApiError::slow_down())),
             (_, Admission::Overloaded) => {
-                self.counters.overload.increment();
+                self.metrics.overload.increment();
                 Err((ApiError::slow_down(), Some(1_000_000)))
             }
             (_, Admission::Admitted) => self.serve(request, &id).await,
@@ -154,7 +154,7 @@
         let (head, body) = request.into_parts();
         let tenant = object::bearer_token(&head.headers).and_then(|t| self.tenants.with_token(t));
         let bad = |fault: ApiError| {
-            self.counters.bad_requests.increment();
+            self.metrics.bad_requests.increment();
             plain(fault)
         };
         let tenant = tenant.ok_or_else(|| bad(ApiError::denied()))?;
@@ -217,14 +217,14 @@
                     )
                 };
                 let length = ask.length.ok_or_else(|| plain(needs()))?;
-                if length > self.figures.body_most {
-                    self.counters.bodies_too_large.increment();
+                if length > self.limits.body_most {
+                    self.metrics.bodies_too_large.increment();
                     return Err(plain(ApiError::too_large()));
                 }
                 length
             }
             Operation::Read { head: false, range } => {
-                range.as_ref().and_then(|r| r.max_len()).unwrap_or(u64::MAX).min(self.figures.buffer)
+                range.as_ref().and_then(|r| r.max_len()).unwrap_or(u64::MAX).min(self.limits.buffer)
             }
             _ => 0,
         };
@@ -232,7 +232,7 @@
         match self.memory.clone().try_acquire_many_owned(kib) {
             Ok(room) => Ok(Arc::new(room)),
             Err(_) => {
-                self.counters.overload.increment();
+                self.metrics.overload.increment();
                 Err((ApiError::slow_down(), Some(1_000_000)))
             }
         }
@@ -244,12 +244,12 @@
         match tokio::time::timeout(BODY_TIME, limited.collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(_)) => {
-                self.counters.bad_requests.increment();
+                self.metrics.bad_requests.increment();
                 let message = "The body is not as long as was said.";
                 Err(plain(ApiError::new(StatusCode::BAD_REQUEST, "IncompleteBody", message)))
             }
             Err(_) => {
-                self.counters.bad_requests.increment();
+                self.metrics.bad_requests.increment();
                 let message = "The body took too long.";
                 Err(plain(ApiError::new(StatusCode::REQUEST_TIMEOUT, "RequestTimeout", message)))
             }
@@ -271,15 +271,15 @@
             .get("req-deadline")
             .map(|v| v.to_str().ok().and_then(client_request::parse_timeout))
         {
-            Some(Some(wait)) => came + wait.min(self.figures.deadlines[class]),
+            Some(Some(wait)) => came + wait.min(self.limits.deadlines[class]),
             Some(None) => return Err(plain(ApiError::invalid("Req-Deadline is malformed."))),
             None => u64::MAX,
         };
         let length = match &ask.operation {
-            Operation::Read { range: Some(range), .. } => range.max_len().unwrap_or(self.figures.unit),
+            Operation::Read { range: Some(range), .. } => range.max_len().unwrap_or(self.limits.unit),
             _ => body.len() as u64,
         };
-        let units = 1 + (length / self.figures.unit).min(self.figures.most_units.saturating_sub(1));
+        let units = 1 + (length / self.limits.unit).min(self.limits.most_units.saturating_sub(1));
         let hashed = |fields: &[&str]| {
             digest(fields).first_chunk().map_or(0, |first: &[u8; 8]| u64::from_be_bytes(*first))
         };
@@ -288,12 +288,12 @@
             class,
             plan: tenant.plan,
             volume: VolumeId(hashed(&[&tenant.name, &ask.bucket])),
-            volume_gateways: self.figures.gateways as f64,
+            volume_gateways: self.limits.gateways as f64,
             block: Some(BlockId(hashed(&[&tenant.name, &ask.bucket, &ask.key]))),
             shard: Some(self.racks.shard(rack)),
             units: units as f64,
             // Without a word from the client, its time runs from the end of its body.
-            expires_at_us: stated.min(self.clock.now_us() + self.figures.deadlines[class]) - MARGIN,
+            expires_at_us: stated.min(self.clock.now_us() + self.limits.deadlines[class]) - MARGIN,
         })
     }
 
@@ -364,16 +364,16 @@
 }
 
 /// Takes the core's attempts to the storage nodes.
-pub struct ToNodes {
+pub struct ObjectTransport {
     /// The core.
     pub router: RouterHandle<Payload, Reply>,
     /// The nodes.
     pub nodes: NodeRegistry,
-    /// The figures.
-    pub figures: Figures,
+    /// The limits.
+    pub limits: ObjectLimits,
 }
 
-impl AttemptTransport<Payload> for ToNodes {
+impl AttemptTransport<Payload> for ObjectTransport {
     fn start(&mut self, attempt: Attempt<Payload>) {
         let Attempt { request, number, node, payload, deadline, cancelled, interest } = attempt;
         let router = self.router.clone();
@@ -397,14 +397,14 @@
             }),
             deadline,
             cancelled,
-            stall_timeout: self.figures.stall,
+            stall_timeout: self.limits.stall,
             streaming: StreamingRule {
-                min_body_len: self.figures.buffer,
+                min_body_len: self.limits.buffer,
                 accepts: Box::new(move |status, headers| {
                     may_stream && status.is_success() && streams(status, headers)
                 }),
             },
-            max_body_len: ANSWER_MOST.max(self.figures.buffer as usize),
+            max_body_len: ANSWER_MOST.max(self.limits.buffer as usize),
             on_event: Box::new(move |end| {
                 let read = |status: StatusCode, headers: &HeaderMap| {
                     node_response::parse_response_head(status, headers, |s| fits(s, headers))
--- a/src/gateway/platform_frontend.rs
+++ b/src/gateway/platform_frontend.rs
@@ -1,6 +1,6 @@
 use super::metrics::GatewayMetrics;
 use super::node_registry::NodeRegistry;
-use super::startup::Stop;
+use super::shutdown::ShutdownSchedule;
 use crate::protocol::client_request::{self, ForwardedRequest, NameTable, RequestError};
 use crate::protocol::node_response::{self, NodeResponseHead};
 use crate::routing::{Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, RouterHandle};
@@ -32,7 +32,7 @@
 const LONGEST: u64 = 600_000_000;
 
 /// The front for the platform's protocol.
-pub struct Front {
+pub struct PlatformFrontend {
     /// The core.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
     /// Its clock.
@@ -40,13 +40,13 @@
     /// How requests name classes and plans.
     pub names: NameTable,
     /// What it counts.
-    pub counters: Rc<GatewayMetrics>,
+    pub metrics: Rc<GatewayMetrics>,
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
     /// When a client that finds no room is to come back, in microseconds; none: no advice.
-    pub come_back: Option<u64>,
+    pub overload_retry_after_us: Option<u64>,
     /// How the program ends.
-    pub stop: Rc<Stop>,
+    pub shutdown: Rc<ShutdownSchedule>,
     /// The ids of the requests that are open.
     pub open: RefCell<FxHashSet<HeaderValue>>,
 }
@@ -68,7 +68,7 @@
     }
 }
 
-impl Front {
+impl PlatformFrontend {
     /// Answers one request.
     pub async fn answer(
         &self,
@@ -80,7 +80,7 @@
     }
 
     fn too_large(&self) -> (StatusCode, Bytes, Option<u64>) {
-        self.counters.bodies_too_large.increment();
+        self.metrics.bodies_too_large.increment();
         (StatusCode::PAYLOAD_TOO_LARGE, Bytes::from_static(b"the body is too large\n"), None)
     }
 
@@ -100,15 +100,15 @@
             _ => {}
         }
         if context.admission == Admission::Overloaded {
-            self.counters.overload.increment();
+            self.metrics.overload.increment();
             let text = Bytes::from_static(b"too many connections\n");
-            return (StatusCode::SERVICE_UNAVAILABLE, text, self.come_back);
+            return (StatusCode::SERVICE_UNAVAILABLE, text, self.overload_retry_after_us);
         }
         let (head, body) = request.into_parts();
         let ask = match client_request::decode(&head, context.conflicting_length, &self.names) {
             Ok(ask) => ask,
             Err(e) => {
-                self.counters.bad_requests.increment();
+                self.metrics.bad_requests.increment();
                 let status = match e {
                     RequestError::Length => StatusCode::LENGTH_REQUIRED,
                     _ => StatusCode::BAD_REQUEST,
@@ -117,7 +117,7 @@
             }
         };
         let Some(_open) = head.headers.get("req-id").and_then(|id| OpenId::take(&self.open, id)) else {
-            self.counters.bad_requests.increment();
+            self.metrics.bad_requests.increment();
             return plain(StatusCode::CONFLICT, "a request of this id is open\n".into());
         };
         // What says that it will be too large is not waited for.
@@ -130,14 +130,14 @@
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => return self.too_large(),
             Ok(Err(_)) | Err(_) => {
-                self.counters.bad_requests.increment();
+                self.metrics.bad_requests.increment();
                 return plain(StatusCode::BAD_REQUEST, "the body broke off\n".into());
             }
         };
         // A request's time counts from its last byte; one that came while the program stops has no longer
         // than that takes.
         let time = ask.timeout_us.min(LONGEST).saturating_sub(MARGIN);
-        let stops = self.stop.by.get().map_or(time, |by| (by - Instant::now()).as_micros() as u64);
+        let stops = self.shutdown.answer_by.get().map_or(time, |by| (by - Instant::now()).as_micros() as u64);
         let expires = self.clock.now_us() + time.min(stops);
         let arrival = IncomingRequest {
             id: RequestId(0),
@@ -161,7 +161,7 @@
 }
 
 /// Takes the core's attempts to the storage nodes.
-pub struct ToNodes {
+pub struct PlatformTransport {
     /// The core.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
     /// The nodes.
@@ -170,7 +170,7 @@
     pub watch: mpsc::UnboundedSender<()>,
 }
 
-impl AttemptTransport<ForwardedRequest> for ToNodes {
+impl AttemptTransport<ForwardedRequest> for PlatformTransport {
     fn start(&mut self, attempt: Attempt<ForwardedRequest>) {
         let Attempt { request, number, node, payload, deadline, cancelled, interest } = attempt;
         let router = self.router.clone();
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -1,10 +1,11 @@
-use super::admin_frontend::Admin;
-use super::config::object::Operator;
-use super::config::platform::Config;
-use super::discovery::{ListActor, watch_wait};
-use super::inventory::{self, InventoryActor, Racks};
+use super::admin_frontend::AdminFrontend;
+use super::config::object::ObjectGatewayConfig;
+use super::config::platform::PlatformConfig;
+use super::discovery::{EndpointWatcher, watch_wait};
+use super::inventory::{self, InventoryActor, RackRegistry};
 use super::metrics::GatewayMetrics;
 use super::node_registry::NodeRegistry;
+use super::shutdown::ShutdownSchedule;
 use super::{object_frontend, platform_frontend};
 use crate::routing::{Clock, RequestRouter};
 use crate::transport::{self, ConnectionLimits, LifecyclePhase, PoolLimits};
@@ -52,18 +53,10 @@
     move |e| RunError::System(what.into(), e)
 }
 
-/// How the program ends once told to.
-pub struct Stop {
-    /// For how long clients that are connected are served on.
-    serve_on: Cell<Duration>,
-    /// Once told: by when all is to be answered.
-    pub by: Cell<Option<Instant>>,
-}
-
 /// What both ways of running start from.
 struct Base {
-    stop: Rc<Stop>,
-    counters: Rc<GatewayMetrics>,
+    stop: Rc<ShutdownSchedule>,
+    metrics: Rc<GatewayMetrics>,
     phase: watch::Receiver<LifecyclePhase>,
     clock: Clock,
 }
@@ -74,16 +67,16 @@
     actors: Vec<JoinHandle<()>>,
     /// Keeps the inventory's actor alive: while the program stops, the administration may be through before
     /// the object API, and its end must not be taken for that of an actor.
-    _inventory: Option<mpsc::UnboundedSender<inventory::Mail>>,
+    _inventory: Option<mpsc::UnboundedSender<inventory::InventoryCommand>>,
 }
 
 /// Serves the platform's protocol.
-pub fn platform(config: Config) -> Result<(), RunError> {
+pub fn platform(config: PlatformConfig) -> Result<(), RunError> {
     run(|base| start_platform(config, base))
 }
 
 /// Serves the object API and the administration.
-pub fn operator(operator: Operator) -> Result<(), RunError> {
+pub fn operator(operator: ObjectGatewayConfig) -> Result<(), RunError> {
     run(|base| start_operator(operator, base))
 }
 
@@ -91,19 +84,19 @@
 fn run<F: Future<Output = Result<Started, RunError>>>(start: impl FnOnce(Base) -> F) -> Result<(), RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(system("runtime"))?;
-    let counters = Rc::new(GatewayMetrics::default());
+    let metrics = Rc::new(GatewayMetrics::default());
     let result = LocalSet::new().block_on(&runtime, async {
         let (set_phase, phase) = watch::channel(LifecyclePhase::Serving);
-        let stop = Rc::new(Stop { serve_on: Cell::new(ACCEPT_ON), by: Cell::new(None) });
-        let signals = signals(set_phase, stop.clone(), counters.clone())?;
-        let started = start(Base { stop, counters: counters.clone(), phase, clock: Clock::start() }).await?;
+        let stop = Rc::new(ShutdownSchedule::new(ACCEPT_ON));
+        let signals = signals(set_phase, stop.clone(), metrics.clone())?;
+        let started = start(Base { stop, metrics: metrics.clone(), phase, clock: Clock::start() }).await?;
         tokio::select! {
             () = all(started.servers) => Ok(()),
             () = any(started.actors) => Err(RunError::Actor),
             () = signals => Ok(()),
         }
     });
-    counters.log();
+    metrics.log();
     result
 }
 
@@ -120,11 +113,11 @@
     set.join_next().await;
 }
 
-/// Leads through the phases once told to stop; prints the counters on SIGUSR1.
+/// Leads through the phases once told to stop; prints the metrics on SIGUSR1.
 fn signals(
     phase: watch::Sender<LifecyclePhase>,
-    ending: Rc<Stop>,
-    counters: Rc<GatewayMetrics>,
+    ending: Rc<ShutdownSchedule>,
+    metrics: Rc<GatewayMetrics>,
 ) -> Result<impl Future<Output = ()>, RunError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(system("signals"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(system("signals"))?;
@@ -136,7 +129,7 @@
                 _ = interrupt.recv() => {}
             }
             let serve_on = ending.serve_on.get();
-            ending.by.set(Some(Instant::now() + serve_on + CLOSE_IDLE + ANSWER_LAST));
+            ending.answer_by.set(Some(Instant::now() + serve_on + CLOSE_IDLE + ANSWER_LAST));
             phase.send_replace(LifecyclePhase::Terminating);
             tokio::time::sleep(ACCEPT_ON).await;
             phase.send_replace(LifecyclePhase::Draining);
@@ -147,7 +140,7 @@
         };
         let prints = async {
             while print.recv().await.is_some() {
-                counters.log();
+                metrics.log();
             }
         };
         tokio::join!(stop, prints);
@@ -159,18 +152,18 @@
 async fn reload_platform(
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
-    counters: Rc<GatewayMetrics>,
+    metrics: Rc<GatewayMetrics>,
 ) {
     while hangup.recv().await.is_some() {
-        match Config::load() {
+        match PlatformConfig::load() {
             Ok(config) => {
-                counters.reloads.increment();
+                metrics.reloads.increment();
                 let to = config.discovery;
                 discovery.send_if_modified(|at| std::mem::replace(at, to) != to);
                 eprintln!("storage-gateway: configuration read anew, discovery at {to}");
             }
             Err(e) => {
-                counters.reloads_failed.increment();
+                metrics.reloads_failed.increment();
                 eprintln!("storage-gateway: the old settings are kept: {e}");
             }
         }
@@ -180,20 +173,20 @@
 /// Reads the inventory anew on each SIGHUP, as the administration's reload does.
 async fn reload_operator(
     mut hangup: Signal,
-    inventory: mpsc::UnboundedSender<inventory::Mail>,
-    counters: Rc<GatewayMetrics>,
+    inventory: mpsc::UnboundedSender<inventory::InventoryCommand>,
+    metrics: Rc<GatewayMetrics>,
 ) {
     while hangup.recv().await.is_some() {
         let (done, read) = oneshot::channel();
         // The inventory's actor lives as long as the program.
-        let _ = inventory.send(inventory::Mail::Reload(done));
+        let _ = inventory.send(inventory::InventoryCommand::Reload(done));
         match read.await {
             Ok(Ok(hosts)) => {
-                counters.reloads.increment();
+                metrics.reloads.increment();
                 eprintln!("storage-gateway: inventory read anew, {hosts} storage nodes");
             }
             Ok(Err(e)) => {
-                counters.reloads_failed.increment();
+                metrics.reloads_failed.increment();
                 eprintln!("storage-gateway: the old inventory is kept: {e}");
             }
             Err(_) => return,
@@ -232,8 +225,8 @@
     )
 }
 
-async fn start_platform(config: Config, base: Base) -> Result<Started, RunError> {
-    let Base { stop, counters, phase, clock } = base;
+async fn start_platform(config: PlatformConfig, base: Base) -> Result<Started, RunError> {
+    let Base { stop, metrics, phase, clock } = base;
     let hangup = hangups()?;
     // Clients go on using the connections that they have: closed early, they would find no gateway until the
     // next start, which comes no sooner for it.
@@ -245,33 +238,33 @@
     let idle = if config.idle.is_zero() { Duration::from_secs(15) } else { config.idle };
     let (limits, pools) = share(config.sockets, connect, idle);
     let nodes = NodeRegistry::new(pools, config.zones);
-    let come_back = config.settings.max_retry_after_us;
+    let overload_retry_after_us = config.settings.max_retry_after_us;
     let wait = watch_wait(config.settings.gateway_index, config.settings.gateway_count);
-    let (core, router) = RequestRouter::new(config.settings, config.seed, clock, counters.requests.clone());
+    let (core, router) = RequestRouter::new(config.settings, config.seed, clock, metrics.requests.clone());
     let (ask, asked) = mpsc::unbounded_channel();
     let (move_to, discovery) = watch::channel(config.discovery);
-    let list = ListActor {
+    let list = EndpointWatcher {
         discovery,
         wait,
         known: config.known,
         nodes: nodes.clone(),
         router: router.clone(),
-        counters: counters.clone(),
+        metrics: metrics.clone(),
     };
-    let carrier = platform_frontend::ToNodes { router: router.clone(), nodes, watch: ask };
+    let carrier = platform_frontend::PlatformTransport { router: router.clone(), nodes, watch: ask };
     let actors = vec![
         spawn_local(list.run(asked)),
         spawn_local(core.run(carrier)),
-        spawn_local(reload_platform(hangup, move_to, counters.clone())),
+        spawn_local(reload_platform(hangup, move_to, metrics.clone())),
     ];
-    let front = platform_frontend::Front {
+    let front = platform_frontend::PlatformFrontend {
         router,
         clock,
         names: config.names,
-        counters,
+        metrics,
         phase: phase.clone(),
-        come_back,
-        stop,
+        overload_retry_after_us,
+        shutdown: stop,
         open: RefCell::default(),
     };
     let front = Rc::new(front);
@@ -282,17 +275,17 @@
     Ok(Started { servers: vec![spawn_local(serve)], actors, _inventory: None })
 }
 
-async fn start_operator(operator: Operator, base: Base) -> Result<Started, RunError> {
-    let Base { counters, phase, clock, .. } = base;
+async fn start_operator(operator: ObjectGatewayConfig, base: Base) -> Result<Started, RunError> {
+    let Base { metrics, phase, clock, .. } = base;
     let hangup = hangups()?;
     let connect = Duration::from_micros(operator.settings.connect_timeout_us);
     let sockets = operator.sockets.saturating_sub(ADMIN.served + ADMIN.rejected);
     let (limits, pools) = share(sockets, connect, operator.idle);
     let rooms: std::collections::BTreeSet<String> = operator.hosts.iter().map(|h| h.room.clone()).collect();
     let nodes = NodeRegistry::new(pools, rooms.into_iter().collect());
-    let racks = Racks::default();
+    let racks = RackRegistry::default();
     let (core, router) =
-        RequestRouter::new(operator.settings, fastrand::u64(..), clock, counters.requests.clone());
+        RequestRouter::new(operator.settings, fastrand::u64(..), clock, metrics.requests.clone());
     let (ask, asked) = mpsc::unbounded_channel();
     let inventory = InventoryActor {
         path: operator.inventory,
@@ -301,29 +294,29 @@
         nodes: nodes.clone(),
         router: router.clone(),
     };
-    let carrier = object_frontend::ToNodes { router: router.clone(), nodes, figures: operator.figures };
+    let carrier = object_frontend::ObjectTransport { router: router.clone(), nodes, limits: operator.limits };
     let actors = vec![
         spawn_local(inventory.run(asked)),
         spawn_local(core.run(carrier)),
-        spawn_local(reload_operator(hangup, ask.clone(), counters.clone())),
+        spawn_local(reload_operator(hangup, ask.clone(), metrics.clone())),
     ];
-    let front = Rc::new(object_frontend::Front {
+    let front = Rc::new(object_frontend::ObjectFrontend {
         router,
         clock,
         tenants: operator.tenants.clone(),
         racks,
         key: operator.key,
-        figures: operator.figures,
+        limits: operator.limits,
         memory: Arc::new(Semaphore::new((operator.memory / 1024) as usize)),
-        counters: counters.clone(),
+        metrics: metrics.clone(),
         phase: phase.clone(),
         next: Cell::new(fastrand::u64(..)),
     });
-    let admin = Rc::new(Admin {
+    let admin = Rc::new(AdminFrontend {
         token: operator.admin_token,
         tenants: operator.tenants,
         inventory: ask.clone(),
-        counters,
+        metrics,
         phase: phase.clone(),
     });
     let listeners = (listen(operator.listen).await?, listen(operator.admin).await?);
