--- /dev/null
+++ b/src/scheduler/admission.rs
@@ -0,0 +1,168 @@
+//! Admission: a request arrives, is classified, and is queued or rejected.
+
+use super::Scheduler;
+use super::action::Action;
+use super::event::{IncomingRequest, RequestId, ShardId};
+use super::request::{Placement, Request, RequestState};
+use super::volume::Volume;
+
+/// A node whose service time is unknown is taken to serve a request in this part of the tightest objective.
+const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
+/// A failing node's expected wait counts so many times.
+const FAILING_NODE_PENALTY: f64 = 10.0;
+/// A warming-up node's expected wait counts up to the inverse of this.
+const MIN_CAPACITY: f64 = 0.1;
+/// New objects are spread by this much randomness over nodes that promise the same wait.
+const PLACEMENT_JITTER: f64 = 0.1;
+
+/// What becomes of a request at its volume.
+enum VolumeAdmission {
+    /// The rate limit would not admit it within its objective.
+    RateLimited { wait_us: u64 },
+    /// It is queued.
+    Admitted { reserved: bool },
+}
+
+impl Scheduler {
+    /// Takes in a request that has arrived.
+    pub(super) fn admit(&mut self, incoming: &IncomingRequest, actions: &mut Vec<Action>) {
+        self.retry_usage.record_request(self.now_us);
+        let is_known =
+            incoming.class < self.settings.classes.len() && incoming.plan < self.settings.plans.len();
+        if !is_known {
+            actions.push(Action::Reject { request: incoming.id, retry_after_us: None });
+            return;
+        }
+        let objective_at_us = self.objective_at_us(incoming);
+        let reserved = match self.admit_to_volume(incoming, objective_at_us) {
+            VolumeAdmission::RateLimited { wait_us } => {
+                let retry_after_us = self.retry_after_us(wait_us);
+                actions.push(Action::Reject { request: incoming.id, retry_after_us });
+                return;
+            }
+            VolumeAdmission::Admitted { reserved } => reserved,
+        };
+        if let Some(shard) = incoming.shard.filter(|_| reserved) {
+            self.slow_start.record_requested(shard, incoming.units, self.now_us);
+        }
+        let request = self.queued_request(incoming, objective_at_us, reserved);
+        if let Some(block) = self.ordering_block(&request) {
+            self.ordering.enqueue(block, incoming.id);
+        }
+        self.requests.insert(incoming.id, request);
+        self.enqueue(incoming.id);
+    }
+
+    /// When an answer no longer earns the full priority weight. A client that has less time left than clients
+    /// of its class had at most is taken to have begun to wait so much earlier, at another gateway.
+    fn objective_at_us(&mut self, incoming: &IncomingRequest) -> u64 {
+        let class = &self.settings.classes[incoming.class];
+        let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
+        let longest_us = &mut self.longest_timeouts_us[incoming.class];
+        *longest_us = (*longest_us).max(left_us.min(class.deadline_us));
+        let began_at_us = self.now_us.saturating_sub(longest_us.saturating_sub(left_us));
+        let service_time = self.nodes.first().map_or(0.0, |node| node.service_time_us * incoming.units);
+        let stretch_us = (class.objective_stretch * service_time) as u64;
+        let objective_us = class.latency_objective_us.unwrap_or(0) + stretch_us;
+        began_at_us + objective_us.min(class.deadline_us)
+    }
+
+    /// Queues a request at its volume. What the rate limit will not admit within its objective is rejected at
+    /// once, with advice on when to come back: queued, it would keep all that comes after it late as well.
+    fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
+        let plan = &self.settings.plans[incoming.plan];
+        let (gateways, max_units) = (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
+        let started_at_us = self.started_at_us;
+        let volume = self
+            .volumes
+            .entry(incoming.volume)
+            .or_insert_with(|| Volume::new(plan, gateways, max_units, started_at_us));
+        volume.gateways = volume.gateways.max(gateways);
+        volume.advance(plan, self.now_us, max_units);
+        volume.record_own(incoming.units);
+        if let Some(limit) = &plan.rate_limit {
+            let wait_us = volume.rate_limit_wait_us(limit, incoming.units);
+            let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
+            let useful_wait_us = objective_at_us.saturating_sub(self.now_us).min(left_us);
+            if wait_us >= useful_wait_us || volume.exceeds_burst(limit, incoming.units) {
+                return VolumeAdmission::RateLimited { wait_us };
+            }
+        }
+        volume.queue(incoming.units);
+        VolumeAdmission::Admitted { reserved: volume.try_reserve(incoming.units) }
+    }
+
+    fn queued_request(&self, incoming: &IncomingRequest, objective_at_us: u64, reserved: bool) -> Request {
+        let queueing_budget_us = self.latency_models[incoming.class].queueing_budget_us;
+        Request {
+            class: incoming.class,
+            plan: incoming.plan,
+            volume: incoming.volume,
+            block: incoming.block,
+            placement: incoming.shard.map_or(Placement::Free(None), Placement::Bound),
+            units: incoming.units,
+            arrived_at_us: self.now_us,
+            due_at_us: self.now_us + queueing_budget_us as u64,
+            objective_at_us,
+            expires_at_us: incoming.expires_at_us,
+            state: RequestState::Queued,
+            attempts: 0,
+            last_node: None,
+            possible_execution: None,
+            response_started: false,
+            reserved,
+            sent_as_background: false,
+            charged: self.settings.plans[incoming.plan].rate_limit.is_none(),
+        }
+    }
+
+    /// Queues a request with those for its shard; a new object goes where it should be served first.
+    pub(super) fn enqueue(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else { return };
+        if request.may_be_placed_anew() {
+            let chosen = self.choose_shard();
+            self.requests[&id].placement = Placement::Free(chosen);
+        }
+        if let Some(shard) = self.requests[&id].shard() {
+            self.queues.entry(shard).or_default().push(id);
+        }
+    }
+
+    /// The shard of the node that promises the shortest wait for a new object.
+    fn choose_shard(&mut self) -> Option<ShardId> {
+        let mut best: Option<(f64, ShardId)> = None;
+        for index in 0..self.nodes.len() {
+            if !self.nodes[index].is_ready() {
+                continue;
+            }
+            let jitter = 1.0 + PLACEMENT_JITTER * self.rng.f64();
+            let wait = self.expected_wait_for_new_object(index) * jitter;
+            if best.is_none_or(|(shortest, _)| wait < shortest) {
+                best = Some((wait, self.nodes[index].shard));
+            }
+        }
+        best.map(|(_, shard)| shard)
+    }
+
+    /// What a new object is likely to wait at a node, in microseconds. A node that is failing or warming up
+    /// counts as slower, and one that has left an attempt unanswered as at least as slow as that.
+    fn expected_wait_for_new_object(&self, index: usize) -> f64 {
+        let node = &self.nodes[index];
+        let mean_units = self.settings.mean_request_units;
+        let queued = self.queues.get(&node.shard).map_or(0, Vec::len) as f64;
+        let latency = if node.service_time_us > 0.0 {
+            node.expected_latency(mean_units)
+        } else {
+            self.tightest_objective_us * ASSUMED_LATENCY_FRACTION
+        };
+        let latency = latency.max(node.health.oldest_in_flight_us);
+        let penalty = if node.health.is_failing() {
+            FAILING_NODE_PENALTY
+        } else {
+            1.0 / self.slow_start.capacity(node, self.now_us).max(MIN_CAPACITY)
+        };
+        let slow_start_wait = self.slow_start.wait_us(node, mean_units, self.now_us) as f64;
+        let ahead = queued + node.reported_in_flight.max(f64::from(node.in_flight)) + 1.0;
+        ahead * latency * penalty + slow_start_wait
+    }
+}
--- /dev/null
+++ b/src/scheduler/volume.rs
@@ -0,0 +1,132 @@
+//! What this gateway knows of a volume: its parts of the reservation and of the rate limit, and observed
+//! rates.
+
+use super::settings::{RateLimit, ServicePlan};
+
+/// The time over which a volume's rates are averaged.
+pub(super) const RATE_AVERAGING_TIME_US: f64 = 3_000_000.0;
+/// The same in seconds.
+pub(super) const RATE_AVERAGING_TIME_S: f64 = RATE_AVERAGING_TIME_US / 1e6;
+/// The part of the provisioned rate that is assumed to be spread evenly over the volume's gateways, so that
+/// one that has seen nothing yet has some of the reservation.
+const EVEN_RATE_FRACTION: f64 = 0.25;
+/// The smallest provisioned rate that shares are computed with.
+const MIN_RATE: f64 = 1e-3;
+/// What a rate limit may be overdrawn by to allow for rounding, in units.
+const ROUNDING_UNITS: f64 = 1e-6;
+
+/// A volume as this gateway sees it.
+#[derive(Default)]
+pub(super) struct Volume {
+    /// How many gateways its requests come through.
+    pub(super) gateways: f64,
+    updated_at_us: u64,
+    /// This gateway's part of the bucket of the rate limit, in units.
+    limit_tokens: f64,
+    /// This gateway's part of the bucket of the reservation, in units.
+    reservation_tokens: f64,
+    /// Units per second through this gateway.
+    own_rate: f64,
+    /// Units per second through the other gateways.
+    other_rate: f64,
+    /// Units queued that the rate limit has not been charged for.
+    uncharged_units: f64,
+}
+
+impl Volume {
+    /// RULE limit: each gateway spends its even part of the bucket. A gateway that may have been here before
+    /// it started takes that part as spent, down to the overdraft, at its start.
+    pub(super) fn new(plan: &ServicePlan, gateways: f64, max_request_units: f64, started_at_us: u64) -> Self {
+        let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
+        Volume {
+            gateways,
+            updated_at_us: started_at_us,
+            limit_tokens: -overdraft / gateways,
+            reservation_tokens: plan.reserved_rate + max_request_units,
+            ..Volume::default()
+        }
+    }
+
+    /// Fills the buckets and lets the observed rates decay up to now.
+    pub(super) fn advance(&mut self, plan: &ServicePlan, now_us: u64, max_request_units: f64) {
+        let elapsed_us = now_us.saturating_sub(self.updated_at_us) as f64;
+        self.updated_at_us = now_us;
+        if let Some(limit) = &plan.rate_limit {
+            let filled = self.limit_tokens + limit.rate / self.gateways * elapsed_us / 1e6;
+            self.limit_tokens = filled.min(limit.burst / self.gateways);
+        }
+        let share = self.share(plan);
+        let filled = self.reservation_tokens + plan.reserved_rate * share * elapsed_us / 1e6;
+        self.reservation_tokens = filled.min((plan.reserved_rate + max_request_units) * share);
+        let decay = (-elapsed_us / RATE_AVERAGING_TIME_US).exp();
+        self.own_rate *= decay;
+        self.other_rate *= decay;
+    }
+
+    /// This gateway's share of the reservation, by how much of the volume's traffic comes through it.
+    fn share(&self, plan: &ServicePlan) -> f64 {
+        let even_rate = EVEN_RATE_FRACTION * plan.provisioned_rate.max(MIN_RATE);
+        if self.gateways <= 1.0 {
+            1.0
+        } else {
+            (self.own_rate + even_rate / self.gateways) / (self.own_rate + self.other_rate + even_rate)
+        }
+    }
+
+    /// Takes in that units were requested through this gateway.
+    pub(super) fn record_own(&mut self, units: f64) {
+        self.own_rate += units / RATE_AVERAGING_TIME_S;
+    }
+
+    /// Takes in that a node served units through other gateways.
+    pub(super) fn record_others(&mut self, units: f64) {
+        self.other_rate += units / RATE_AVERAGING_TIME_S;
+    }
+
+    /// Takes in the rate at which the volume was served everywhere, in percent of the provisioned rate.
+    pub(super) fn record_metered(&mut self, percent: f64, plan: &ServicePlan) {
+        self.other_rate = (percent / 100.0 * plan.provisioned_rate - self.own_rate).max(0.0);
+    }
+
+    /// How long until the limit admits this many units, behind what is queued for it, in microseconds.
+    pub(super) fn rate_limit_wait_us(&self, limit: &RateLimit, units: f64) -> u64 {
+        let missing = self.uncharged_units + units - self.limit_tokens - limit.overdraft / self.gateways;
+        (missing.max(0.0) / (limit.rate / self.gateways) * 1e6) as u64
+    }
+
+    /// Whether the limit could never admit a request of this size.
+    pub(super) fn exceeds_burst(&self, limit: &RateLimit, units: f64) -> bool {
+        units > (limit.burst + limit.overdraft) / self.gateways
+    }
+
+    /// Whether the limit admits this many units now.
+    pub(super) fn rate_limit_admits(&self, plan: &ServicePlan, units: f64) -> bool {
+        let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
+        self.limit_tokens - units >= -overdraft / self.gateways + ROUNDING_UNITS
+    }
+
+    /// Takes in that units are queued.
+    pub(super) fn queue(&mut self, units: f64) {
+        self.uncharged_units += units;
+    }
+
+    /// Takes in that units left the queue without being charged to the limit.
+    pub(super) fn unqueue(&mut self, units: f64) {
+        self.uncharged_units -= units;
+    }
+
+    /// Charges units that leave the queue to the limit.
+    pub(super) fn charge(&mut self, units: f64) {
+        self.limit_tokens -= units;
+        self.uncharged_units -= units;
+    }
+
+    /// Takes units out of the reservation, if at least half of them are there.
+    pub(super) fn try_reserve(&mut self, units: f64) -> bool {
+        let reserved = self.reservation_tokens >= units / 2.0;
+        if reserved {
+            self.reservation_tokens -= units;
+        }
+        reserved
+    }
+}
--- /dev/null
+++ b/tests/latency_model.rs
@@ -0,0 +1,69 @@
+//! The latency model against values computed by other means.
+
+use storage_gateway::scheduler::latency_model::{
+    digamma_and_trigamma, fit_generalized_exponential, mean_disengagement, mean_latency_budget,
+};
+
+struct Moments {
+    mean: f64,
+    variance: f64,
+}
+
+/// The moments of the law at scale one, by numeric integration of the survival function.
+fn moments(shape: f64) -> Moments {
+    let (mut mean, mut square, step) = (0.0, 0.0, 1e-3);
+    let mut x: f64 = step / 2.0;
+    while x < 60.0 {
+        let survival = 1.0 - (1.0 - (-x).exp()).powf(shape);
+        mean += survival * step;
+        square += 2.0 * x * survival * step;
+        x += step;
+    }
+    Moments { mean, variance: square - mean * mean }
+}
+
+#[test]
+fn digamma_and_trigamma_match_known_values() {
+    let euler = 0.577_215_664_901_532_9;
+    let at_one = digamma_and_trigamma(1.0);
+    assert!((at_one.digamma + euler).abs() < 1e-9);
+    assert!((at_one.trigamma - std::f64::consts::PI.powi(2) / 6.0).abs() < 1e-9);
+    // At one half: -gamma - 2 ln 2 and pi squared over two.
+    let at_half = digamma_and_trigamma(0.5);
+    assert!((at_half.digamma + euler + 2.0 * 2f64.ln()).abs() < 1e-9);
+    assert!((at_half.trigamma - std::f64::consts::PI.powi(2) / 2.0).abs() < 1e-9);
+}
+
+#[test]
+fn fit_matches_integrated_moments() {
+    for shape in [0.5, 1.0, 2.5, 9.0, 40.0] {
+        let expected = moments(shape);
+        let law = fit_generalized_exponential(expected.variance.sqrt() / expected.mean);
+        assert!((law.shape / shape - 1.0).abs() < 0.02, "shape {shape} fitted as {}", law.shape);
+        let (mean, unit_mean) = (expected.mean, law.unit_mean);
+        assert!((unit_mean / mean - 1.0).abs() < 0.01, "mean {mean} fitted as {unit_mean}");
+    }
+}
+
+#[test]
+fn mean_disengagement_matches_the_exponential_law() {
+    // A coefficient of variation of one is the plain exponential: half from objective to deadline, one beyond.
+    let expected = 0.5 * ((-2f64).exp() - (-10f64).exp()) + (-10f64).exp();
+    let computed = mean_disengagement(fit_generalized_exponential(1.0), 100.0, 200.0, 1_000.0);
+    assert!((computed - expected).abs() < 1e-6, "{computed} for {expected}");
+}
+
+#[test]
+fn the_latency_budget_meets_its_target_and_takes_degenerate_variations() {
+    // Exponential: 0.5 (exp(-a/m) + exp(-d/m)) is between 0.95 and 0.98 of 2%.
+    let mean = mean_latency_budget(1.0, 200.0, 1_000.0);
+    let disengagement = 0.5 * ((-200.0 / mean).exp() + (-1_000.0 / mean).exp());
+    assert!((0.0189..=0.0197).contains(&disengagement), "{disengagement}");
+    let budgets: Vec<f64> =
+        [0.1, 0.5, 1.0, 2.0].map(|variation| mean_latency_budget(variation, 200.0, 1_000.0)).to_vec();
+    assert!(budgets.windows(2).all(|pair| pair[0] > pair[1]), "wider variation, smaller budget: {budgets:?}");
+    for variation in [0.0, 1e9, f64::INFINITY, f64::NAN] {
+        let mean = mean_latency_budget(variation, 200.0, 1_000.0);
+        assert!(mean.is_finite() && (0.0..=500.0).contains(&mean), "a variation of {variation} gave {mean}");
+    }
+}
