--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -51,10 +51,11 @@
     pub(super) fn advance(&mut self, plan: &ServicePlan, now_us: u64, max_request_units: f64) {
         let elapsed_us = now_us.saturating_sub(self.updated_at_us) as f64;
         self.updated_at_us = now_us;
-        if let Some(limit) = &plan.rate_limit {
+        // A plan without a limit leaves no credit to a volume that comes under a limited plan later.
+        self.limit_tokens = plan.rate_limit.map_or(self.limit_tokens.min(0.0), |limit| {
             let filled = self.limit_tokens + limit.rate / self.gateways * elapsed_us / 1e6;
-            self.limit_tokens = filled.min(limit.burst / self.gateways);
-        }
+            filled.min(limit.burst / self.gateways)
+        });
         let share = self.share(plan);
         let filled = self.reservation_tokens + plan.reserved_rate * share * elapsed_us / 1e6;
         self.reservation_tokens = filled.min((plan.reserved_rate + max_request_units) * share);
