--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -169,7 +169,7 @@
         } else if self.may_be_retried(id, report.outcome) {
             self.enqueue(id);
         } else {
-            self.give_up(id, actions);
+            self.reject_or_fail(id, actions);
         }
     }
 
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -31,7 +31,7 @@
                 continue;
             }
             if request.expires_at_us <= latest_us || self.cannot_be_served(request) {
-                self.give_up(id, actions);
+                self.reject_or_fail(id, actions);
             }
         }
     }
@@ -71,7 +71,7 @@
 
     /// Gives the final answer: a rejection where it is true that repeating the request is harmless, else a
     /// failure.
-    pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.is_answered()) else { return };
         let is_harmless = self.may_be_repeated_by_client(request);
         let wait_us = self.expected_wait_us(request);
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -72,11 +72,11 @@
             let node = &mut self.nodes[attempt.node];
             let elapsed_us = (self.now_us - attempt.sent_at_us) as f64;
             node.health.oldest_in_flight_us = node.health.oldest_in_flight_us.max(elapsed_us);
-            let overdue = elapsed_us / node.expected_latency(units).max(1.0);
+            let elapsed_ratio = elapsed_us / node.expected_latency(units).max(1.0);
             let is_alone = node.in_flight == node.presumed_lost + 1 && !node.health.is_failing();
             let was_overtaken = node.answers >= attempt.node_answers + 2;
-            let is_lost = (is_alone && overdue > 2.0 * LOST_AFTER_FACTOR)
-                || (was_overtaken && overdue > LOST_AFTER_FACTOR);
+            let is_lost = (is_alone && elapsed_ratio > 2.0 * LOST_AFTER_FACTOR)
+                || (was_overtaken && elapsed_ratio > LOST_AFTER_FACTOR);
             if is_lost && !attempt.presumed_lost {
                 attempt.presumed_lost = true;
                 node.presumed_lost += 1;
--- a/src/scheduler/latency_model.rs
+++ b/src/scheduler/latency_model.rs
@@ -1,7 +1,7 @@
 //! The latency model of a request class: how long its requests may be queued.
 //!
-//! From the paper: a generalized exponential law F(x) = (1 - e^(-x/scale))^shape is fitted to recent
-//! latencies. The disengagement curve, summed over that law, tells which mean latency keeps the mean
+//! From the paper: a generalized exponential distribution F(x) = (1 - e^(-x/scale))^shape is fitted to recent
+//! latencies. The disengagement curve, summed over that distribution, tells which mean latency keeps the mean
 //! disengagement at its target; what that leaves beyond the shortest latency is the time that a request may
 //! be queued.
 
@@ -19,7 +19,7 @@
 const MAX_COMPLETION_AGE_US: u64 = 5_000_000;
 /// So many completions are kept whatever their age, as one of many gateways completes few a second.
 const MIN_KEPT_COMPLETIONS: usize = 50;
-/// With fewer completions than this the exponential law stands in for a fitted one.
+/// With fewer completions than this the exponential distribution stands in for a fitted one.
 const MIN_FITTED_COMPLETIONS: usize = 16;
 /// Steps of the bisection for the shape, enough for the precision of the logarithm's range.
 const SHAPE_BISECTIONS: usize = 60;
@@ -52,7 +52,7 @@
     Polygamma { digamma, trigamma }
 }
 
-/// A generalized exponential law at scale one.
+/// A generalized exponential distribution at scale one.
 #[derive(Clone, Copy, Debug)]
 pub struct GeneralizedExponential {
     /// The shape.
@@ -61,8 +61,8 @@
     pub unit_mean: f64,
 }
 
-/// The generalized exponential law with this coefficient of variation. A coefficient beyond what the law can
-/// take (0, huge, not a number) is read as the nearest that it can.
+/// The generalized exponential distribution with this coefficient of variation. A coefficient beyond what the
+/// distribution can take (0, huge, not a number) is read as the nearest that it can.
 pub fn fit_generalized_exponential(coefficient_of_variation: f64) -> GeneralizedExponential {
     let at_one = digamma_and_trigamma(1.0);
     let unit_mean = |ln_shape: f64| digamma_and_trigamma(ln_shape.exp() + 1.0).digamma - at_one.digamma;
@@ -83,23 +83,28 @@
     GeneralizedExponential { shape: low.exp(), unit_mean: unit_mean(low) }
 }
 
-/// The disengagement curve averaged over a law with this mean: zero within the objective, half up to the
-/// deadline, one beyond it. Times are in any one unit.
-pub fn mean_disengagement(law: GeneralizedExponential, mean: f64, objective: f64, deadline: f64) -> f64 {
-    let scale = (mean / law.unit_mean).max(f64::MIN_POSITIVE);
-    let below = |x: f64| (law.shape * (-(-x / scale).exp()).ln_1p()).exp();
+/// The disengagement curve averaged over a distribution with this mean: zero within the objective, half up to
+/// the deadline, one beyond it. Times are in any one unit.
+pub fn mean_disengagement(
+    distribution: GeneralizedExponential,
+    mean: f64,
+    objective: f64,
+    deadline: f64,
+) -> f64 {
+    let scale = (mean / distribution.unit_mean).max(f64::MIN_POSITIVE);
+    let below = |x: f64| (distribution.shape * (-(-x / scale).exp()).ln_1p()).exp();
     0.5 * (below(deadline) - below(objective)).max(0.0) + 1.0 - below(deadline)
 }
 
 /// The highest mean latency that keeps the mean disengagement at its target, by bisection up to half the
 /// deadline. Times are in any one unit.
 pub fn mean_latency_budget(coefficient_of_variation: f64, objective: f64, deadline: f64) -> f64 {
-    let law = fit_generalized_exponential(coefficient_of_variation);
+    let distribution = fit_generalized_exponential(coefficient_of_variation);
     let (mut low, mut high) = (0.0, deadline / 2.0);
     let mut mean = high / 2.0;
     while high - low > deadline / 2.0 * MEAN_PRECISION {
         mean = (low + high) / 2.0;
-        let ratio = mean_disengagement(law, mean, objective, deadline) / TARGET_DISENGAGEMENT;
+        let ratio = mean_disengagement(distribution, mean, objective, deadline) / TARGET_DISENGAGEMENT;
         if ratio < MIN_TARGET_RATIO {
             low = mean;
         } else if ratio > MAX_TARGET_RATIO {
--- a/tests/latency_model.rs
+++ b/tests/latency_model.rs
@@ -9,7 +9,7 @@
     variance: f64,
 }
 
-/// The moments of the law at scale one, by numeric integration of the survival function.
+/// The moments of the distribution at scale one, by numeric integration of the survival function.
 fn moments(shape: f64) -> Moments {
     let (mut mean, mut square, step) = (0.0, 0.0, 1e-3);
     let mut x: f64 = step / 2.0;
@@ -38,16 +38,21 @@
 fn fit_matches_integrated_moments() {
     for shape in [0.5, 1.0, 2.5, 9.0, 40.0] {
         let expected = moments(shape);
-        let law = fit_generalized_exponential(expected.variance.sqrt() / expected.mean);
-        assert!((law.shape / shape - 1.0).abs() < 0.02, "shape {shape} fitted as {}", law.shape);
-        let (mean, unit_mean) = (expected.mean, law.unit_mean);
+        let distribution = fit_generalized_exponential(expected.variance.sqrt() / expected.mean);
+        assert!(
+            (distribution.shape / shape - 1.0).abs() < 0.02,
+            "shape {shape} fitted as {}",
+            distribution.shape
+        );
+        let (mean, unit_mean) = (expected.mean, distribution.unit_mean);
         assert!((unit_mean / mean - 1.0).abs() < 0.01, "mean {mean} fitted as {unit_mean}");
     }
 }
 
 #[test]
 fn mean_disengagement_matches_the_exponential_law() {
-    // A coefficient of variation of one is the plain exponential: half from objective to deadline, one beyond.
+    // A coefficient of variation of one is the plain exponential: half from objective to deadline, one
+    // beyond.
     let expected = 0.5 * ((-2f64).exp() - (-10f64).exp()) + (-10f64).exp();
     let computed = mean_disengagement(fit_generalized_exponential(1.0), 100.0, 200.0, 1_000.0);
     assert!((computed - expected).abs() < 1e-6, "{computed} for {expected}");
