--- /dev/null
+++ b/tests/common/builders.rs
@@ -0,0 +1,166 @@
+//! Builders of settings, endpoints, requests, reports and events, with defaults that suit most tests.
+
+use super::{SECOND, TICK};
+use storage_gateway::scheduler::*;
+
+/// A request class whose late answers earn a tenth of its weight.
+pub fn class(
+    latency_objective_us: u64,
+    deadline_us: u64,
+    priority_weight: f64,
+    idempotency: Idempotency,
+) -> RequestClass {
+    RequestClass {
+        latency_objective_us: Some(latency_objective_us),
+        deadline_us,
+        priority_weight,
+        late_weight_factor: 0.1,
+        idempotency,
+        ordered_by_key: false,
+        objective_stretch: 0.0,
+    }
+}
+
+/// Settings with every rule in force, for three gateways.
+///
+/// Class 0 is idempotent; class 1 carries an idempotency key that the nodes of one shard recognize; class 2 is
+/// not idempotent and ordered by key. Plan 0 has a rate limit, plan 1 a reservation.
+pub fn settings() -> SchedulerSettings {
+    SchedulerSettings {
+        classes: classes(),
+        plans: plans(),
+        gateway_index: 0,
+        gateway_count: 3,
+        batch_interval_us: TICK,
+        max_attempts: Some(3),
+        cancellation: true,
+        connect_timeout_us: 250_000,
+        max_retry_after_us: Some(2 * SECOND),
+        answer_grace_us: 8_000,
+        endpoints_on_request: false,
+        max_poll_interval_us: 10 * SECOND,
+        drain_grace_us: 0,
+        slow_start: Some(SlowStartPolicy {
+            guaranteed_units: 18.0,
+            window_us: 2 * SECOND,
+            initial_capacity: 0.2,
+            warm_up_us: 14 * SECOND,
+            overload_factor: 2.5,
+        }),
+        retry_budget: Some(RetryBudget { burst: 3.0, ratio: 0.1, window_us: 5 * SECOND }),
+        ordering_gap_us: 100_000,
+        mean_request_units: 2.0,
+        max_request_units: 8.0,
+        fair_share_weight_factor: 0.3,
+        metering_period_us: None,
+        reports_other_gateways: false,
+    }
+}
+
+fn classes() -> Vec<RequestClass> {
+    let with_key = Idempotency::WithKey { scope: DeduplicationScope::Shard, window_us: SECOND };
+    vec![
+        class(200_000, SECOND, 2.0, Idempotency::Idempotent),
+        class(300_000, 2 * SECOND, 2.0, with_key),
+        RequestClass { ordered_by_key: true, ..class(800_000, 2_500_000, 1.0, Idempotency::NonIdempotent) },
+    ]
+}
+
+fn plans() -> Vec<ServicePlan> {
+    let plan = |reserved_rate, weight, rate_limit| ServicePlan {
+        provisioned_rate: 6.0,
+        reserved_rate,
+        weight,
+        priority_factor: 1.0,
+        rate_limit,
+    };
+    let limit = RateLimit { rate: 36.0, burst: 54.0, overdraft: 8.0 };
+    vec![plan(0.0, 1.0, Some(limit)), plan(6.0, 3.0, None)]
+}
+
+/// An endpoint in zone 0 or 1; its node started at the given time, or long ago if that is 0.
+pub fn endpoint(name: &str, shard: u32, state: EndpointState, started_at_us: u64) -> Endpoint {
+    Endpoint {
+        node: name.into(),
+        zone: ZoneId(shard % 2),
+        shard: ShardId(shard),
+        state,
+        started_at_us: (started_at_us > 0).then_some(started_at_us),
+    }
+}
+
+/// The nodes n0, n1 and so on, one for each shard, all in service for long.
+pub fn ready_endpoints(count: u32) -> Vec<Endpoint> {
+    (0..count).map(|shard| endpoint(&format!("n{shard}"), shard, EndpointState::Ready, 0)).collect()
+}
+
+pub fn snapshot(endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointsUpdated(EndpointUpdate::Snapshot(endpoints))
+}
+
+pub fn delta(endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointsUpdated(EndpointUpdate::Delta(endpoints))
+}
+
+pub fn cached(endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointsUpdated(EndpointUpdate::Cached(endpoints))
+}
+
+pub fn poll_failed() -> Event {
+    Event::EndpointsUpdated(EndpointUpdate::PollFailed)
+}
+
+/// A request for a block and of a volume of its own, with plan 1.
+pub fn incoming_request(id: u32, class: usize, shard: u32, expires_at_us: u64) -> IncomingRequest {
+    IncomingRequest {
+        id: RequestId(id),
+        class,
+        plan: 1,
+        volume: VolumeId(u64::from(id)),
+        volume_gateways: 1.0,
+        block: Some(BlockId(u64::from(id))),
+        shard: Some(ShardId(shard)),
+        units: 2.0,
+        expires_at_us,
+    }
+}
+
+pub fn arrival(id: u32, class: usize, shard: u32, expires_at_us: u64) -> Event {
+    Event::RequestArrived(incoming_request(id, class, shard, expires_at_us))
+}
+
+/// The end of an attempt; only a success completes its request.
+pub fn attempt_report(request: u32, node: &str, outcome: AttemptOutcome, latency_us: u64) -> AttemptReport {
+    AttemptReport {
+        request: RequestId(request),
+        outcome,
+        latency_us,
+        complete: outcome == AttemptOutcome::Succeeded,
+        node: node.into(),
+        volume_rate_percent: None,
+        units_via_other_gateways: 0.0,
+        load: LoadReport::default(),
+    }
+}
+
+pub fn attempt_ended(request: u32, node: &str, outcome: AttemptOutcome, latency_us: u64) -> Event {
+    Event::AttemptEnded(attempt_report(request, node, outcome, latency_us))
+}
+
+/// Delivers a batch of events to a scheduler and returns its actions.
+pub fn deliver(scheduler: &mut Scheduler, now_us: u64, events: &[Event]) -> Vec<Action> {
+    let mut actions = Vec::new();
+    scheduler.handle(now_us, events, &mut actions);
+    actions
+}
+
+/// One scheduler for each gateway, seeded with the gateway's number plus `seed_offset`.
+pub fn schedulers(settings: &SchedulerSettings, seed_offset: u64, now_us: u64) -> Vec<Scheduler> {
+    let new = |index| scheduler(settings, index, index as u64 + seed_offset, now_us);
+    (0..settings.gateway_count).map(new).collect()
+}
+
+/// The scheduler of one gateway of the fleet.
+pub fn scheduler(settings: &SchedulerSettings, gateway_index: usize, seed: u64, now_us: u64) -> Scheduler {
+    Scheduler::new(SchedulerSettings { gateway_index, ..settings.clone() }, seed, now_us)
+}
--- /dev/null
+++ b/tests/common/fleet.rs
@@ -0,0 +1,350 @@
+//! A fleet of gateways in front of the same storage nodes, on a clock that a test advances by hand.
+
+use super::{
+    SECOND, TICK, attempt_report, incoming_request, poll_failed, ready_endpoints, scheduler, schedulers,
+};
+use std::collections::BTreeMap;
+use storage_gateway::scheduler::*;
+
+/// When the simulation begins.
+pub const SIMULATION_START_US: u64 = 1_000 * SECOND;
+
+/// Which kind of update a list of endpoints makes.
+pub type UpdateKind = fn(Vec<Endpoint>) -> EndpointUpdate;
+
+/// An attempt of a request that the fleet keeps track of.
+#[derive(Clone, Debug)]
+pub struct TrackedAttempt {
+    pub node: NodeId,
+    pub sent_at_us: u64,
+    pub shard: ShardId,
+    /// Not known to be proven never to have run.
+    pub may_have_run: bool,
+    pub in_flight: bool,
+}
+
+/// A request and what has become of it.
+#[derive(Clone, Debug)]
+pub struct TrackedRequest {
+    pub gateway: usize,
+    pub request: IncomingRequest,
+    pub arrived_at_us: u64,
+    pub finished: bool,
+    pub attempts: Vec<TrackedAttempt>,
+}
+
+/// An attempt as a scheduler sent it.
+#[derive(Clone, Debug)]
+pub struct SentAttempt {
+    pub at_us: u64,
+    pub request: u32,
+    pub node: NodeId,
+    pub units: f64,
+    pub timeout_us: Option<u64>,
+}
+
+/// An attempt that has not ended.
+#[derive(Clone, Debug)]
+pub struct InFlightAttempt {
+    pub request: u32,
+    pub node: NodeId,
+    pub sent_at_us: u64,
+}
+
+/// A timer that a scheduler has set.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PendingTimer {
+    pub gateway: usize,
+    pub due_at_us: u64,
+    pub token: u64,
+}
+
+/// What the endpoint lists last said of a node.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ListedNode {
+    pub shard: ShardId,
+    pub started_at_us: Option<u64>,
+}
+
+/// A retry, for the rule on the retry budget.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Retry {
+    pub at_us: u64,
+    pub gateway: usize,
+}
+
+/// The token bucket of a volume, for the rule on rate limits.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct VolumeBucket {
+    pub units: f64,
+    pub filled_at_us: u64,
+}
+
+/// Several gateways in front of the same nodes. Every action of theirs is checked against the rules.
+pub struct SimulatedFleet {
+    pub settings: SchedulerSettings,
+    pub now_us: u64,
+    pub gateways: Vec<Scheduler>,
+    pub requests: BTreeMap<u32, TrackedRequest>,
+    pub sent: Vec<SentAttempt>,
+    pub rejected: Vec<u32>,
+    pub failed: Vec<u32>,
+    /// When a gateway began to watch the endpoint list.
+    pub watches_at_us: Vec<u64>,
+    /// How long after its announcement a draining node may be sent work.
+    pub drain_grace_us: u64,
+    pub(super) timers: Vec<PendingTimer>,
+    pub(super) nodes: BTreeMap<NodeId, ListedNode>,
+    /// Since when a gateway has known that a node drains or is gone.
+    pub(super) unavailable_since_us: BTreeMap<(usize, NodeId), u64>,
+    pub(super) retries: Vec<Retry>,
+    pub(super) volume_buckets: BTreeMap<VolumeId, VolumeBucket>,
+    /// Until when a gateway must let an ordered block rest.
+    pub(super) block_rests_until_us: BTreeMap<(usize, BlockId), u64>,
+    queued_events: Vec<Vec<Event>>,
+}
+
+impl SimulatedFleet {
+    pub fn new(settings: SchedulerSettings) -> Self {
+        const SEED_OFFSET: u64 = 7;
+        let gateways = schedulers(&settings, SEED_OFFSET, SIMULATION_START_US);
+        SimulatedFleet {
+            now_us: SIMULATION_START_US,
+            queued_events: vec![Vec::new(); gateways.len()],
+            gateways,
+            settings,
+            requests: BTreeMap::new(),
+            sent: Vec::new(),
+            rejected: Vec::new(),
+            failed: Vec::new(),
+            watches_at_us: Vec::new(),
+            drain_grace_us: 0,
+            timers: Vec::new(),
+            nodes: BTreeMap::new(),
+            unavailable_since_us: BTreeMap::new(),
+            retries: Vec::new(),
+            volume_buckets: BTreeMap::new(),
+            block_rests_until_us: BTreeMap::new(),
+        }
+    }
+
+    /// A fleet without slow start and retry budget whose gateways know this many nodes.
+    pub fn unrestricted(gateway_count: usize, node_count: u32) -> Self {
+        let settings =
+            SchedulerSettings { gateway_count, slow_start: None, retry_budget: None, ..super::settings() };
+        let mut fleet = SimulatedFleet::new(settings);
+        fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &ready_endpoints(node_count));
+        fleet.advance();
+        fleet
+    }
+
+    /// Queues an event for the gateway's next batch.
+    pub fn notify(&mut self, gateway: usize, event: Event) {
+        self.queued_events[gateway].push(event);
+    }
+
+    pub fn update_endpoints(&mut self, gateway: usize, kind: UpdateKind, endpoints: &[Endpoint]) {
+        let update = kind(endpoints.to_vec());
+        if matches!(update, EndpointUpdate::Snapshot(_) | EndpointUpdate::Cached(_)) {
+            self.note_removal_of_unlisted(gateway, endpoints);
+        }
+        for endpoint in endpoints {
+            let listed = ListedNode { shard: endpoint.shard, started_at_us: endpoint.started_at_us };
+            self.nodes.insert(endpoint.node.clone(), listed);
+            let key = (gateway, endpoint.node.clone());
+            if endpoint.state == EndpointState::Ready {
+                self.unavailable_since_us.remove(&key);
+            } else {
+                self.unavailable_since_us.entry(key).or_insert(self.now_us);
+            }
+        }
+        self.notify(gateway, Event::EndpointsUpdated(update));
+    }
+
+    fn note_removal_of_unlisted(&mut self, gateway: usize, endpoints: &[Endpoint]) {
+        let listed = |node: &NodeId| endpoints.iter().any(|endpoint| endpoint.node == *node);
+        for node in self.nodes.keys().filter(|node| !listed(node)) {
+            self.unavailable_since_us.entry((gateway, node.clone())).or_insert(self.now_us);
+        }
+    }
+
+    pub fn update_endpoints_everywhere(&mut self, kind: UpdateKind, endpoints: &[Endpoint]) {
+        for gateway in 0..self.gateways.len() {
+            self.update_endpoints(gateway, kind, endpoints);
+        }
+    }
+
+    /// Every gateway's poll of the endpoint list fails.
+    pub fn fail_polls(&mut self) {
+        for gateway in 0..self.gateways.len() {
+            self.notify(gateway, poll_failed());
+        }
+    }
+
+    /// A request arrives at the gateway.
+    pub fn submit(&mut self, gateway: usize, request: IncomingRequest) {
+        let tracked = TrackedRequest {
+            gateway,
+            request: request.clone(),
+            arrived_at_us: self.now_us,
+            finished: false,
+            attempts: vec![],
+        };
+        assert!(self.requests.insert(request.id.0, tracked).is_none());
+        self.notify(gateway, Event::RequestArrived(request));
+    }
+
+    /// A request of the class for data of the shard arrives at gateway 0, with the deadline of its class.
+    pub fn submit_to_shard(&mut self, id: u32, class: usize, shard: u32) {
+        let expires_at_us = self.now_us + self.settings.classes[class].deadline_us;
+        self.submit(0, incoming_request(id, class, shard, expires_at_us));
+    }
+
+    /// A request of the class and of the volume arrives at gateway 0, for shard 0, with the deadline of its
+    /// class.
+    pub fn submit_from_volume(&mut self, id: u32, class: usize, volume: u64) {
+        let expires_at_us = self.now_us + self.settings.classes[class].deadline_us;
+        let request = incoming_request(id, class, 0, expires_at_us);
+        self.submit(0, IncomingRequest { volume: VolumeId(volume), ..request });
+    }
+
+    /// As `submit_from_volume`, of a volume of its own.
+    pub fn submit_of_class(&mut self, id: u32, class: usize) {
+        self.submit_from_volume(id, class, u64::from(id));
+    }
+
+    /// Requests of class 0, one at a time, each answered after the latency and followed by a pause.
+    pub fn submit_one_by_one(&mut self, ids: std::ops::Range<u32>, latency_us: u64, pause_us: u64) {
+        for id in ids {
+            self.submit_of_class(id, 0);
+            self.run_answering_after(latency_us + 2 * TICK, latency_us);
+            self.run_answering_after(pause_us, latency_us);
+        }
+    }
+
+    /// The attempts that have not ended, by request.
+    pub fn in_flight(&self) -> Vec<InFlightAttempt> {
+        let attempt_of = |(id, tracked): (&u32, &TrackedRequest)| {
+            let attempt = tracked.attempts.last().filter(|attempt| attempt.in_flight)?;
+            let (node, sent_at_us) = (attempt.node.clone(), attempt.sent_at_us);
+            Some(InFlightAttempt { request: *id, node, sent_at_us })
+        };
+        self.requests.iter().filter_map(attempt_of).collect()
+    }
+
+    /// The requests of the attempts sent from the given position on.
+    pub fn requests_sent_since(&self, position: usize) -> Vec<u32> {
+        self.sent[position..].iter().map(|attempt| attempt.request).collect()
+    }
+
+    /// Ends the attempt of the request that is in flight.
+    pub fn finish_attempt(&mut self, id: u32, outcome: AttemptOutcome) {
+        let tracked = self.requests.get_mut(&id).expect("a request");
+        let attempt = tracked.attempts.last_mut().expect("an attempt");
+        assert!(attempt.in_flight);
+        attempt.in_flight = false;
+        attempt.may_have_run = !matches!(
+            outcome,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        );
+        tracked.finished |= outcome == AttemptOutcome::Succeeded;
+        let mut report = attempt_report(id, &attempt.node, outcome, self.now_us - attempt.sent_at_us);
+        report.complete = tracked.finished;
+        let gateway = tracked.gateway;
+        self.let_block_rest(id, outcome);
+        self.notify(gateway, Event::AttemptEnded(report));
+    }
+
+    /// After an attempt that may still run, the block of an ordered request rests.
+    fn let_block_rest(&mut self, id: u32, outcome: AttemptOutcome) {
+        let tracked = &self.requests[&id];
+        let may_still_run = matches!(
+            outcome,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
+        );
+        if may_still_run
+            && self.settings.classes[tracked.request.class].ordered_by_key
+            && let Some(block) = tracked.request.block
+        {
+            let until_us = self.now_us + self.settings.ordering_gap_us;
+            self.block_rests_until_us.insert((tracked.gateway, block), until_us);
+        }
+    }
+
+    /// The client of an unfinished request leaves.
+    pub fn disconnect_client(&mut self, id: u32) {
+        let tracked = self.requests.get_mut(&id).expect("a request");
+        tracked.finished = true;
+        let gateway = tracked.gateway;
+        self.notify(gateway, Event::ClientDisconnected(RequestId(id)));
+    }
+
+    /// Kills a gateway, and with it all that it knew; it restarts with the cached endpoints.
+    pub fn restart_gateway(&mut self, gateway: usize, cached: &[Endpoint]) {
+        self.gateways[gateway] = scheduler(&self.settings, gateway, self.now_us, self.now_us);
+        self.queued_events[gateway].clear();
+        self.timers.retain(|timer| timer.gateway != gateway);
+        self.requests.retain(|_, tracked| tracked.gateway != gateway);
+        self.retries.retain(|retry| retry.gateway != gateway);
+        self.unavailable_since_us.retain(|key, _| key.0 != gateway);
+        self.block_rests_until_us.retain(|key, _| key.0 != gateway);
+        self.update_endpoints(gateway, EndpointUpdate::Cached, cached);
+    }
+
+    /// Delivers what is due, checks the actions and advances the clock by a tick.
+    pub fn advance(&mut self) {
+        self.time_out_expired_attempts();
+        for gateway in 0..self.gateways.len() {
+            self.deliver_events(gateway);
+        }
+        self.check_all_answered_in_time();
+        self.now_us += TICK;
+    }
+
+    fn time_out_expired_attempts(&mut self) {
+        for attempt in self.in_flight() {
+            if self.requests[&attempt.request].request.expires_at_us <= self.now_us {
+                self.finish_attempt(attempt.request, AttemptOutcome::TimedOut);
+            }
+        }
+    }
+
+    fn deliver_events(&mut self, gateway: usize) {
+        let now_us = self.now_us;
+        let mut events = std::mem::take(&mut self.queued_events[gateway]);
+        let due = self.timers.iter().filter(|timer| timer.gateway == gateway && timer.due_at_us <= now_us);
+        events.extend(due.map(|timer| Event::TimerFired(timer.token)));
+        self.timers.retain(|timer| timer.gateway != gateway || timer.due_at_us > now_us);
+        if events.is_empty() {
+            return;
+        }
+        for action in super::deliver(&mut self.gateways[gateway], now_us, &events) {
+            self.check_action(gateway, action);
+        }
+    }
+
+    pub fn run_for(&mut self, duration_us: u64) {
+        let end_us = self.now_us + duration_us;
+        while self.now_us < end_us {
+            self.advance();
+        }
+    }
+
+    /// As `run_for`, with every attempt answered after the latency.
+    pub fn run_answering_after(&mut self, duration_us: u64, latency_us: u64) {
+        let end_us = self.now_us + duration_us;
+        while self.now_us < end_us {
+            self.answer_attempts_after(|_| latency_us);
+            self.advance();
+        }
+    }
+
+    /// Answers the attempts that have been in flight for their latency.
+    pub fn answer_attempts_after(&mut self, latency_us: impl Fn(&InFlightAttempt) -> u64) {
+        for attempt in self.in_flight() {
+            if attempt.sent_at_us + latency_us(&attempt) <= self.now_us {
+                self.finish_attempt(attempt.request, AttemptOutcome::Succeeded);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/tests/latency_objectives.rs
@@ -0,0 +1,119 @@
+//! What a scheduler infers from measured latencies, and how latency objectives and attempt timeouts follow
+//! from it.
+
+mod common;
+use common::*;
+use storage_gateway::scheduler::*;
+
+fn last_sent(fleet: &SimulatedFleet) -> &SentAttempt {
+    fleet.sent.last().expect("an attempt")
+}
+
+/// At two requests a second 50 never come within 5 s; the latency model is fitted all the same. Steady
+/// latencies allow a budget near the objective, so class 0 is then due after class 1, for which nothing is
+/// known yet.
+#[test]
+fn the_latency_model_is_fitted_at_a_low_rate() {
+    for (count, first) in [(4, 1_000), (30, 1_001)] {
+        let mut fleet = SimulatedFleet::unrestricted(40, 1);
+        fleet.submit_one_by_one(0..count, 50_000, 450_000);
+        fleet.submit_of_class(500, 0);
+        fleet.advance();
+        fleet.submit_of_class(1_000, 0);
+        fleet.submit_of_class(1_001, 1);
+        fleet.advance();
+        let before = fleet.sent.len();
+        let oldest = fleet.in_flight().remove(0);
+        fleet.finish_attempt(oldest.request, AttemptOutcome::Succeeded);
+        fleet.run_answering_after(SECOND / 2, 50_000);
+        let sent = fleet.requests_sent_since(before);
+        assert_eq!(sent.into_iter().find(|id| *id >= 1_000), Some(first), "after {count} completions");
+    }
+}
+
+/// At a volume at its rate limit, a request that could only be sent after its objective gives way to those
+/// that can still meet theirs.
+#[test]
+fn rate_limited_requests_are_not_sent_after_their_objective() {
+    let mut fleet = SimulatedFleet::unrestricted(1, 1);
+    fleet.run_for(5 * SECOND);
+    for id in 0..400 {
+        let expires_at_us = fleet.now_us + 2_500_000;
+        let request = IncomingRequest {
+            plan: 0,
+            volume: VolumeId(7),
+            volume_gateways: 3.0,
+            units: 1.0 + f64::from(id % 3),
+            ..incoming_request(id, (id % 2) as usize, 0, expires_at_us)
+        };
+        fleet.submit(0, request);
+        fleet.run_answering_after(10_000, 5_000);
+    }
+    for attempt in &fleet.sent {
+        let tracked = &fleet.requests[&attempt.request];
+        let objective_us = fleet.settings.classes[tracked.request.class].latency_objective_us.unwrap();
+        let waited_us = attempt.at_us - tracked.arrived_at_us;
+        assert!(waited_us <= objective_us + 10_000, "{} left {waited_us} us late", attempt.request);
+    }
+    assert!(fleet.sent.len() > 20);
+}
+
+/// Where the window is down to one, an attempt times out at its objective and is not retried; one that must
+/// not run twice is waited for.
+#[test]
+fn attempts_at_a_slow_node_time_out_at_their_objective() {
+    let mut fleet = SimulatedFleet::unrestricted(3, 1);
+    fleet.submit_of_class(0, 0);
+    fleet.advance();
+    let timeouts: Vec<_> = fleet.sent.iter().map(|attempt| (attempt.request, attempt.timeout_us)).collect();
+    assert_eq!(timeouts, [(0, None)], "not while nothing speaks against the node");
+    fleet.submit_one_by_one(1..21, 150_000, 0);
+    for (id, class, timeout_us) in [(100, 0, Some(200_000)), (101, 2, None)] {
+        fleet.submit_of_class(id, class);
+        fleet.advance();
+        let last = last_sent(&fleet);
+        assert_eq!((last.request, last.timeout_us), (id, timeout_us));
+        fleet.run_for(timeout_us.unwrap_or(0));
+        let outcome = match timeout_us {
+            Some(_) => AttemptOutcome::TimedOut,
+            None => AttemptOutcome::Succeeded,
+        };
+        fleet.finish_attempt(id, outcome);
+        fleet.run_for(SECOND / 2);
+        assert_eq!(fleet.requests[&id].attempts.len(), 1);
+    }
+    assert!(fleet.rejected.contains(&100));
+}
+
+/// An attempt that had next to no time is no evidence against its node: the next is sent at once, and one with
+/// less time left until its objective than an attempt takes gets no timeout. Silence still counts, once it
+/// adds up.
+#[test]
+fn attempts_cut_short_are_no_failure_of_their_node() {
+    let mut fleet = SimulatedFleet::unrestricted(3, 1);
+    fleet.submit_of_class(0, 0);
+    fleet.advance();
+    fleet.submit_one_by_one(1..21, 150_000, 0);
+    // All but 10 ms until its objective is over.
+    let expires_at_us = fleet.now_us + SECOND - 190_000;
+    fleet.submit(0, incoming_request(100, 0, 0, expires_at_us));
+    fleet.advance();
+    let last = last_sent(&fleet);
+    assert_eq!((last.request, last.timeout_us), (100, None), "it would be cut off in vain");
+    fleet.run_for(20_000);
+    fleet.finish_attempt(100, AttemptOutcome::TimedOut);
+    fleet.advance();
+    fleet.submit_of_class(101, 0);
+    fleet.advance();
+    fleet.advance();
+    assert_eq!(last_sent(&fleet).request, 101, "sent at once");
+    for id in 102..112 {
+        fleet.run_for(200_000);
+        if fleet.requests[&(id - 1)].attempts.last().is_some_and(|attempt| attempt.in_flight) {
+            fleet.finish_attempt(id - 1, AttemptOutcome::TimedOut);
+        }
+        fleet.submit_of_class(id, 0);
+    }
+    fleet.run_for(2 * TICK);
+    assert!(fleet.requests[&111].attempts.is_empty(), "a silent node is left alone for a while");
+}
