--- /dev/null
+++ b/tests/exchange_player/gateway_process.rs
@@ -0,0 +1,76 @@
+//! The gateway under test, as a process of its own.
+
+use std::io::{BufRead, BufReader, Read};
+use std::path::Path;
+use std::process::{Child, ChildStderr, Command, Stdio};
+
+/// What the log line on a listening socket says before the address.
+const SERVING_PREFIX: &str = "storage-gateway: serving on ";
+
+/// A running gateway; it is killed when this is dropped.
+pub struct GatewayProcess {
+    child: Child,
+    log: BufReader<ChildStderr>,
+    /// Where it listens: for clients, and for admin requests if it serves the object API.
+    addresses: Vec<String>,
+}
+
+impl GatewayProcess {
+    /// Starts the gateway with the configuration in the folder, and waits until it listens.
+    pub fn start(folder: &Path) -> Self {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
+        let is_platform = folder.join("config.json").exists();
+        match is_platform {
+            true => command.env("GW_CONFIG", "config.json"),
+            false => command.arg("--config").arg("config.toml"),
+        };
+        // From within the folder, so that no message names the place of the checkout.
+        command.current_dir(folder);
+        let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
+        let log = BufReader::new(child.stderr.take().unwrap());
+        let mut gateway = GatewayProcess { child, log, addresses: Vec::new() };
+        let listeners = if is_platform { 1 } else { 2 };
+        for _ in 0..listeners {
+            let line = gateway.read_log_line();
+            let address = line.trim().strip_prefix(SERVING_PREFIX).expect(&line);
+            gateway.addresses.push(address.to_string());
+        }
+        gateway
+    }
+
+    pub fn client_address(&self) -> &str {
+        &self.addresses[0]
+    }
+
+    pub fn admin_address(&self) -> &str {
+        &self.addresses[1]
+    }
+
+    pub fn read_log_line(&mut self) -> String {
+        let mut line = String::new();
+        self.log.read_line(&mut line).unwrap();
+        line
+    }
+
+    pub fn send_signal(&self, name: &str) {
+        let pid = self.child.id().to_string();
+        let status = Command::new("kill").args([format!("-{name}"), pid]).status().unwrap();
+        assert!(status.success());
+    }
+
+    /// Returns the exit status and the rest of the log.
+    pub fn wait_for_exit(&mut self) -> String {
+        let status = self.child.wait().unwrap();
+        let mut log = String::new();
+        self.log.read_to_string(&mut log).unwrap();
+        format!("{status}\n{log}")
+    }
+}
+
+impl Drop for GatewayProcess {
+    fn drop(&mut self) {
+        // It may have ended by itself.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- /dev/null
+++ b/tests/exchange_player/peers.rs
@@ -0,0 +1,150 @@
+//! The gateway's peers: clients, and storage nodes or discovery.
+
+use super::STEP_TIMEOUT;
+use super::script::ReadUntil;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+/// The end of a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// A client of the gateway.
+pub struct ClientPeer(TcpStream);
+
+impl ClientPeer {
+    pub fn connect(address: &str) -> Self {
+        ClientPeer(TcpStream::connect(address).unwrap())
+    }
+
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.0.write_all(bytes).unwrap();
+    }
+
+    pub fn read(&mut self, until: ReadUntil) -> Vec<u8> {
+        read(&mut self.0, until)
+    }
+
+    /// Whether the gateway has sent something or closed the connection.
+    pub fn has_answer(&self) -> bool {
+        peek(&self.0).is_ok()
+    }
+}
+
+/// A storage node or discovery.
+pub struct NodePeer {
+    /// None once it is dead.
+    listener: Option<TcpListener>,
+    /// While the backlog is full: the connection that fills it. The system then drops whatever else comes, so
+    /// that a connection attempt succeeds only when it is repeated, a second later.
+    backlog_filler: Option<TcpStream>,
+    /// The current connection is the last; earlier ones stay open, as those of a silent machine would.
+    connections: Vec<TcpStream>,
+}
+
+impl NodePeer {
+    pub fn listen() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        listener.set_nonblocking(true).unwrap();
+        NodePeer { listener: Some(listener), backlog_filler: None, connections: Vec::new() }
+    }
+
+    pub fn address(&self) -> SocketAddr {
+        self.listener().local_addr().unwrap()
+    }
+
+    fn listener(&self) -> &TcpListener {
+        self.listener.as_ref().unwrap()
+    }
+
+    pub fn connection(&mut self) -> &mut TcpStream {
+        self.connections.last_mut().expect("a connection")
+    }
+
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
+    }
+
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.connection().write_all(bytes).unwrap();
+    }
+
+    pub fn close_connection(&mut self) {
+        drop(self.connections.pop());
+    }
+
+    pub fn die(&mut self) {
+        self.listener = None;
+        self.connections.clear();
+    }
+
+    pub fn fill_backlog(&mut self) {
+        socket2::SockRef::from(self.listener()).listen(0).unwrap();
+        self.backlog_filler = Some(TcpStream::connect(self.address()).unwrap());
+    }
+
+    pub fn free_backlog(&mut self) {
+        self.backlog_filler = None;
+        self.listener().accept().unwrap();
+    }
+
+    /// Whether a connection to the node is being established, by the system's table of connections.
+    pub fn is_being_connected_to(&self) -> bool {
+        const REMOTE_ADDRESS: usize = 2;
+        const STATE: usize = 3;
+        const SYN_SENT: &str = "02";
+        let port = format!(":{:04X}", self.address().port());
+        let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+        table.lines().any(|line| {
+            let fields: Vec<&str> = line.split_whitespace().collect();
+            fields[REMOTE_ADDRESS].ends_with(&port) && fields[STATE] == SYN_SENT
+        })
+    }
+
+    /// Accepts a connection if one has come, and makes the last connection with something to read the current
+    /// one. Whether there is one.
+    pub fn has_bytes(&mut self) -> bool {
+        if let Some(Ok((connection, _))) = self.listener.as_ref().map(|listener| listener.accept()) {
+            connection.set_nonblocking(false).unwrap();
+            self.connections.push(connection);
+        }
+        let is_readable = |connection: &TcpStream| peek(connection).is_ok_and(|count| count > 0);
+        let Some(position) = self.connections.iter().rposition(is_readable) else { return false };
+        let readable = self.connections.remove(position);
+        self.connections.push(readable);
+        true
+    }
+}
+
+/// How many bytes of at most one can be read at once: none from a closed connection, an error if it would wait.
+fn peek(stream: &TcpStream) -> std::io::Result<usize> {
+    stream.set_nonblocking(true).unwrap();
+    let peeked = stream.peek(&mut [0]);
+    stream.set_nonblocking(false).unwrap();
+    peeked
+}
+
+/// Reads a head, a message or all there is; a connection that breaks ends it as well.
+pub fn read(stream: &mut TcpStream, until: ReadUntil) -> Vec<u8> {
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+    let (mut bytes, mut byte) = (Vec::new(), [0]);
+    while until == ReadUntil::Closed || !bytes.ends_with(HEAD_END) {
+        match stream.read(&mut byte) {
+            Ok(0) => return bytes,
+            Ok(_) => bytes.push(byte[0]),
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => return bytes,
+            Err(error) => panic!("{error} after {:?}", String::from_utf8_lossy(&bytes)),
+        }
+    }
+    if let (ReadUntil::MessageEnd, Some(length)) = (until, content_length(&bytes)) {
+        let mut body = vec![0; length];
+        stream.read_exact(&mut body).unwrap();
+        bytes.extend(body);
+    }
+    bytes
+}
+
+fn content_length(head: &[u8]) -> Option<usize> {
+    let head = String::from_utf8_lossy(head).to_lowercase();
+    let value = head.split("content-length: ").nth(1)?;
+    value.lines().next()?.parse().ok()
+}
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,13 +1,16 @@
-//! The program against recorded exchanges: clients, storage nodes and discovery are played from
-//! `tests/exchanges/`, and what the program says is compared with `tests/snapshots/`.
+//! The gateway against recorded exchanges: its clients, storage nodes and discovery are played from the scripts
+//! in `tests/exchanges/`, and what the gateway sends is compared with `tests/snapshots/`.
 
-mod play;
+mod exchange_player;
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
 
 macro_rules! exchanges {
     ($($name:ident)*) => {$(
         #[test]
         fn $name() {
-            insta::assert_snapshot!(play::Play::script(stringify!($name)));
+            insta::assert_snapshot!(exchange_player::play_script(stringify!($name)));
         }
     )*};
 }
@@ -59,38 +62,57 @@
     object_stream_stalled
 }
 
-/// A bad configuration is told in one plain line, with a code of its own, and nothing is served.
-#[test]
-fn bad_configurations_are_told_in_one_line() {
-    let read = |file: &str| std::fs::read_to_string(format!("tests/exchanges/object/{file}")).unwrap();
-    let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("bad");
+/// What is wrong with a configuration: one piece of text in the place of another.
+struct Mistake {
+    correct: &'static str,
+    wrong: &'static str,
+}
+
+const MISTAKES: [Mistake; 10] = [
+    Mistake { correct: "[gateway]", wrong: "[gateway" },
+    Mistake { correct: "body_most = 1000", wrong: "body_least = 1000" },
+    Mistake { correct: "memory = 1000000", wrong: "memory = 1000" },
+    Mistake { correct: "aim_ms = 5000", wrong: "aim_ms = 50000" },
+    Mistake { correct: "rate = 40", wrong: "rate = -1" },
+    Mistake { correct: "plan = \"standard\"", wrong: "plan = \"novel\"" },
+    Mistake { correct: "name = \"other\"", wrong: "name = \"uni\"" },
+    Mistake { correct: "\"secret\"", wrong: "\"nowhere\"" },
+    Mistake { correct: "inventory.csv", wrong: "bad.csv" },
+    Mistake { correct: "[admin]\nlisten = \"127.0.0.1:0\"", wrong: "[admin]\nlisten = \"0.0.0.0:0\"" },
+];
+
+fn object_configuration(file: &str) -> String {
+    std::fs::read_to_string(format!("tests/exchanges/object/{file}")).unwrap()
+}
+
+/// A folder with what the configuration refers to, and an inventory with a bad address.
+fn configuration_folder() -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("bad");
     std::fs::create_dir_all(&folder).unwrap();
-    std::fs::write(folder.join("secret"), read("secret")).unwrap();
-    std::fs::write(folder.join("inventory.csv"), "name,address,rack\nn1,127.0.0.1:9001,r1\n").unwrap();
-    std::fs::write(folder.join("bad.csv"), "name,address,rack\nn1,nowhere,r1\n").unwrap();
-    let good = read("config.toml");
-    let mut told = String::new();
-    for (from, to) in [
-        ("[gateway]", "[gateway"),
-        ("body_most = 1000", "body_least = 1000"),
-        ("memory = 1000000", "memory = 1000"),
-        ("aim_ms = 5000", "aim_ms = 50000"),
-        ("rate = 40", "rate = -1"),
-        ("plan = \"standard\"", "plan = \"novel\""),
-        ("name = \"other\"", "name = \"uni\""),
-        ("\"secret\"", "\"nowhere\""),
-        ("inventory.csv", "bad.csv"),
-        ("[admin]\nlisten = \"127.0.0.1:0\"", "[admin]\nlisten = \"0.0.0.0:0\""),
-    ] {
-        assert!(good.contains(from), "{from}");
+    let write = |file: &str, text: &str| std::fs::write(folder.join(file), text).unwrap();
+    write("secret", &object_configuration("secret"));
+    write("inventory.csv", "name,address,rack\nn1,127.0.0.1:9001,r1\n");
+    write("bad.csv", "name,address,rack\nn1,nowhere,r1\n");
+    folder
+}
+
+/// The gateway reports an invalid configuration in one line, exits with a status of its own, and serves
+/// nothing.
+#[test]
+fn invalid_configurations_are_reported_in_one_line() {
+    let folder = configuration_folder();
+    let valid = object_configuration("config.toml");
+    let mut reports = String::new();
+    for Mistake { correct, wrong } in MISTAKES {
+        assert!(valid.contains(correct), "{correct}");
         let path = folder.join("config.toml");
-        std::fs::write(&path, good.replacen(from, to, 1)).unwrap();
-        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
-        let output = command.arg("--config").arg(path).output().unwrap();
-        assert_eq!(output.status.code(), Some(2), "{to}");
-        let text = String::from_utf8(output.stderr).unwrap().replace(folder.to_str().unwrap(), "FOLDER");
-        assert_eq!(text.lines().count(), 1, "{text}");
-        told.push_str(&format!("{to:?}\n    {text}"));
+        std::fs::write(&path, valid.replacen(correct, wrong, 1)).unwrap();
+        let mut gateway = Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
+        let output = gateway.arg("--config").arg(path).output().unwrap();
+        assert_eq!(output.status.code(), Some(2), "{wrong}");
+        let report = String::from_utf8(output.stderr).unwrap().replace(folder.to_str().unwrap(), "FOLDER");
+        assert_eq!(report.lines().count(), 1, "{report}");
+        reports.push_str(&format!("{wrong:?}\n    {report}"));
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(reports);
 }
