--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -16,50 +16,50 @@
 }
 
 exchanges! {
-    short_half_sent_at_the_end
-    short_list_connection_closed
-    fleet_list_silent
-    platform_serves
-    crossing_left_behind_bytes
-    crossing_left_while_connecting
-    crossing_repeat_window
-    crossing_time_left
-    platform_bad_requests
-    platform_declined
-    platform_reset
-    platform_rude
-    platform_spoilt
-    platform_surplus
-    platform_chunks
-    platform_client_leaves
-    platform_list
-    platform_list_down
-    platform_restarted
-    platform_reload
-    platform_stops
+    crossing_client_disconnects_after_pipelining
+    crossing_client_disconnects_while_connecting
+    crossing_idempotency_key_window
+    crossing_remaining_deadline
+    fleet_endpoint_watch_silent
     narrow_overload
-    narrow_silent
-    object_reads
-    object_write_lost
-    object_declined
-    object_refused
-    object_faults
+    narrow_silent_clients
+    object_admin
+    object_all_nodes_draining
+    object_complete_upload_retried
     object_multipart
-    object_part_killed
-    object_part_drained
-    object_complete_lost
-    object_range_killed
+    object_node_rejects
+    object_part_node_drained
+    object_part_node_killed
+    object_range_node_killed
     object_range_stalled
     object_range_streamed
-    object_wrong_part
-    object_admin
-    object_stops
+    object_read_deadline
+    object_reads
     object_reload
+    object_request_errors
+    object_shutdown
+    object_stream_stalled
     object_tenants
+    object_write_deadline
+    object_write_retried
+    object_wrong_range
+    platform_bad_requests
+    platform_chunked_bodies
+    platform_client_disconnects
+    platform_connection_reset
+    platform_discovery_down
+    platform_endpoint_list
+    platform_invalid_clients
+    platform_malformed_responses
+    platform_node_rejects
+    platform_reload
+    platform_restarted
+    platform_serves
+    platform_shutdown
+    platform_surplus_responses
+    short_discovery_connection_closed
+    short_partial_request_at_shutdown
     tight_memory
-    object_deadline_read
-    object_deadline_write
-    object_stream_stalled
 }
 
 /// What is wrong with a configuration: one piece of text in the place of another.
