--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -1,6 +1,6 @@
 //! An example storage node for trying the object API: it keeps objects and uploads in memory, and loses them
-//! when it ends. Start it with the address to listen on, such as `storage-node 127.0.0.1:9001`; it prints each
-//! request that it serves.
+//! when it ends. Start it with the address to listen on, such as `storage-node 127.0.0.1:9001`; it prints
+//! each request that it serves.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -23,8 +23,8 @@
 
 /// Settings with every rule in force, for three gateways.
 ///
-/// Class 0 is idempotent; class 1 carries an idempotency key that the nodes of one shard recognize; class 2 is
-/// not idempotent and ordered by key. Plan 0 has a rate limit, plan 1 a reservation.
+/// Class 0 is idempotent; class 1 carries an idempotency key that the nodes of one shard recognize; class 2
+/// is not idempotent and ordered by key. Plan 0 has a rate limit, plan 1 a reservation.
 pub fn settings() -> SchedulerSettings {
     SchedulerSettings {
         classes: classes(),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the scheduler share: builders of its inputs, and a simulated fleet of gateways that checks
-//! every decision against the rules of the platform.
+//! What the tests of the scheduler share: builders of its inputs, and a simulated fleet of gateways that
+//! checks every decision against the rules of the platform.
 
 // Every test binary uses a part of this module only.
 #![allow(dead_code, unused_imports)]
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -189,7 +189,7 @@
         });
     }
 
-    /// All gateways together send a node that warms up no more than it bears within the window.
+    /// All gateways together stay within the allowance of a warming-up node.
     fn check_slow_start(&self, node: &NodeId) {
         let now_us = self.now_us;
         let (Some(policy), Some(started_at_us)) = (self.settings.slow_start, self.nodes[node].started_at_us)
@@ -205,7 +205,7 @@
         let since_us = started_at_us.max(now_us.saturating_sub(policy.window_us));
         let in_window = |attempt: &&SentAttempt| attempt.node == *node && attempt.at_us >= since_us;
         let sent: f64 = self.sent.iter().filter(in_window).map(|attempt| attempt.units).sum();
-        assert!(sent <= allowed + ROUNDING, "a node that warms up was sent {sent} of {allowed}");
+        assert!(sent <= allowed + ROUNDING, "a warming-up node was sent {sent} of {allowed}");
     }
 
     fn class_of(&self, tracked: &TrackedRequest) -> &RequestClass {
--- a/tests/exchange_player/mod.rs
+++ b/tests/exchange_player/mod.rs
@@ -1,9 +1,9 @@
 //! Plays a script of clients, storage nodes and discovery against the gateway, over real sockets.
 //!
 //! A script is a text file of steps, each headed by a line such as `== client a sends` or `== node n1 gets`;
-//! what is sent stands below it. The transcript of all that came back is compared with a snapshot. Nothing here
-//! asserts on time: a step waits until its bytes are there, and only a test that has failed already waits until
-//! [`STEP_TIMEOUT`].
+//! what is sent stands below it. The transcript of all that came back is compared with a snapshot. Nothing
+//! here asserts on time: a step waits until its bytes are there, and only a test that has failed already
+//! waits until [`STEP_TIMEOUT`].
 
 mod gateway_process;
 mod peers;
--- a/tests/exchange_player/peers.rs
+++ b/tests/exchange_player/peers.rs
@@ -115,7 +115,8 @@
     }
 }
 
-/// How many bytes of at most one can be read at once: none from a closed connection, an error if it would wait.
+/// How many bytes of at most one can be read at once: none from a closed connection, an error if it would
+/// wait.
 fn peek(stream: &TcpStream) -> std::io::Result<usize> {
     stream.set_nonblocking(true).unwrap();
     let peeked = stream.peek(&mut [0]);
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,5 +1,5 @@
-//! The gateway against recorded exchanges: its clients, storage nodes and discovery are played from the scripts
-//! in `tests/exchanges/`, and what the gateway sends is compared with `tests/snapshots/`.
+//! The gateway against recorded exchanges: its clients, storage nodes and discovery are played from the
+//! scripts in `tests/exchanges/`, and what the gateway sends is compared with `tests/snapshots/`.
 
 mod exchange_player;
 
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -85,9 +85,9 @@
     assert!(fleet.rejected.contains(&100));
 }
 
-/// An attempt that had next to no time is no evidence against its node: the next is sent at once, and one with
-/// less time left until its objective than an attempt takes gets no timeout. Silence still counts, once it
-/// adds up.
+/// An attempt that had next to no time is no evidence against its node: the next is sent at once, and one
+/// with less time left until its objective than an attempt takes gets no timeout. Silence still counts, once
+/// it adds up.
 #[test]
 fn attempts_cut_short_are_no_failure_of_their_node() {
     let mut fleet = SimulatedFleet::unrestricted(3, 1);
--- a/tests/overloaded_nodes.rs
+++ b/tests/overloaded_nodes.rs
@@ -46,8 +46,8 @@
     Silent,
 }
 
-/// Submits 200 requests in ten seconds and returns how many attempts were sent. At a silent node, attempts end
-/// with their timeouts.
+/// Submits 200 requests in ten seconds and returns how many attempts were sent. At a silent node, attempts
+/// end with their timeouts.
 fn sent_in_ten_seconds(fleet: &mut SimulatedFleet, first_id: u32, node: NodeBehaviour) -> usize {
     let before = fleet.sent.len();
     for id in first_id..first_id + 200 {
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_node_that_warms_up_is_sent_no_more_than_it_bears() {
+fn warming_up_nodes_are_sent_no_more_than_their_allowance() {
     let mut fleet = fleet();
     let started_at_us = fleet.now_us;
     let started = endpoint("n0", 0, EndpointState::Ready, started_at_us);
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -27,8 +27,8 @@
         }
     }
 
-    /// The units that the node bears within the window of the policy.
-    fn bears(&self, capacity: f64) -> f64 {
+    /// The units that the node may be sent within the window of the policy.
+    fn allowed_units(&self, capacity: f64) -> f64 {
         self.policy.overload_factor * self.units_per_second * capacity * self.policy.window_us as f64 / 1e6
     }
 }
@@ -215,7 +215,7 @@
         self.now_us > self.started_at_us + 2 * self.warm_up.policy.window_us
     }
 
-    /// What the gateways that know of the restart have sent is no more than the node bears.
+    /// Gateways that know of the restart have sent no more than the node may be sent.
     fn check_load(&mut self, capacity: f64) {
         let (now_us, window_us) = (self.now_us, self.warm_up.policy.window_us);
         while self.recently_sent.front().is_some_and(|sent| sent.at_us + window_us < now_us) {
@@ -225,8 +225,8 @@
         if capacity >= 1.0 {
             return;
         }
-        let (bears, gateways) = (self.warm_up.bears(capacity), self.gateways.len());
-        assert!(sent <= bears, "{gateways} gateways sent {sent} of {bears} within the window");
+        let (allowed, gateways) = (self.warm_up.allowed_units(capacity), self.gateways.len());
+        assert!(sent <= allowed, "{gateways} gateways sent {sent} of {allowed} within the window");
         if self.is_past_first_windows() {
             self.servable_units += self.warm_up.units_per_second * capacity * ROUND_SECONDS;
         }
@@ -234,11 +234,11 @@
 }
 
 /// A node restarts twice; gateways are notified of it seconds apart, some restart with an older list. What
-/// those that were notified send within the window stays within what the node then bears, be there many
+/// those that were notified send within the window stays within the node's allowance, be there many
 /// gateways or few, though all of them request twice what it can serve. They send it no small part of that
 /// either: it is kept busy.
 #[test]
-fn a_fleet_keeps_within_what_a_node_that_warms_up_bears_and_keeps_it_busy() {
+fn a_fleet_uses_the_allowance_of_a_warming_up_node_and_stays_within_it() {
     for gateways in [3usize, 45, 170] {
         let mut simulation = RestartingNode::new(gateways);
         for round in 0u32..1_600 {
@@ -248,12 +248,12 @@
         let least = if gateways > 3 { 0.4 } else { 0.25 };
         assert!(
             served > least * servable,
-            "{gateways} gateways sent a node that warms up {served} units of {servable}"
+            "{gateways} gateways sent a warming-up node {served} units of {servable}"
         );
     }
 }
 
-/// Gateways that restarted together with their node, each of which requests for a volume of its own within the
+/// Gateways that restarted together with their node; each serves a volume of its own within the volume's
 /// reservation. The node answers everything within one round.
 struct ReleasedFleet {
     warm_up: WarmUp,
@@ -330,8 +330,8 @@
         let started_at_us = self.node_started_at_us;
         let since_us = started_at_us.max(now_us.saturating_sub(self.warm_up.policy.window_us));
         let units = self.units_sent(|at_us| at_us >= since_us);
-        let bears = self.warm_up.bears(self.warm_up.capacity_at(now_us - started_at_us));
-        assert!(units <= bears, "{units} units of {bears} within the window");
+        let allowed = self.warm_up.allowed_units(self.warm_up.capacity_at(now_us - started_at_us));
+        assert!(units <= allowed, "{units} units of {allowed} within the window");
     }
 
     fn units_sent(&self, at: impl Fn(u64) -> bool) -> f64 {
@@ -341,9 +341,9 @@
 
 /// A release stops gateways and nodes together: the gateways that come back have never seen the node at its
 /// full capacity. They send it a good part of what is requested within the reservations, and all of them
-/// together no more than it then bears.
+/// together stay within its allowance.
 #[test]
-fn restarted_gateways_serve_reservations_at_a_node_that_warms_up() {
+fn restarted_gateways_serve_reservations_at_a_warming_up_node() {
     let mut fleet = ReleasedFleet::new(60);
     for round in 0u32..600 {
         fleet.run_round(round);
