--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -258,6 +258,24 @@
     assert!(fleet.rejected.len() > 30, "{} rejected at once", fleet.rejected.len());
 }
 
+/// Requests of one volume may name two plans: while it has no limit, it gathers no credit for the limited plan.
+#[test]
+fn a_plan_without_a_limit_leaves_no_credit_for_a_limited_one() {
+    let mut fleet = fleet();
+    fleet.run_for(5 * SECOND);
+    let expires_at_us = fleet.now_us + SECOND;
+    let unlimited = IncomingRequest { plan: 1, ..limited_request(1, 0, expires_at_us) };
+    fleet.submit(0, limited_request(0, 0, expires_at_us));
+    fleet.submit(0, unlimited);
+    fleet.advance();
+    let sent_before = fleet.sent.len();
+    for id in 2..12 {
+        fleet.submit(0, limited_request(id, id % 3, expires_at_us));
+    }
+    fleet.advance();
+    assert_eq!(fleet.sent.len(), sent_before, "the overdraft is used up, and there is nothing else");
+}
+
 #[test]
 fn a_failed_poll_of_the_endpoint_list_is_retried_once() {
     let on_request = SchedulerSettings { endpoints_on_request: true, ..settings() };
