--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -202,7 +202,7 @@
             FinalAnswer::Rejected { retry_after_us } => return Err((ApiError::slow_down(), retry_after_us)),
             FinalAnswer::Failed => return Err(plain(ApiError::failed())),
         };
-        Ok(response.map(|body| GuardedBody(body, room).boxed()))
+        Ok(response.map(|body| GuardedBody::new(body, room).boxed()))
     }
 
     /// Room in memory for the bodies of a request and of its answer.
--- a/src/transport/node_connection.rs
+++ b/src/transport/node_connection.rs
@@ -1,4 +1,4 @@
-use super::Shared;
+use super::socket::SharedSocket;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -94,7 +94,7 @@
 
 impl AsyncRead for Metered {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if std::task::ready!(self.stream.poll_read_once(cx, |s| s.try_read_buf(buf)))? > 0 {
+        if std::task::ready!(self.stream.poll_read_with(cx, |s| s.try_read_buf(buf)))? > 0 {
             self.meter.heard.set(true);
             self.meter.hears.notify_one();
         }
@@ -104,7 +104,7 @@
 
 impl AsyncWrite for Metered {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = std::task::ready!(self.stream.poll_write_once(cx, |s| s.try_write(buf)))?;
+        let wrote = std::task::ready!(self.stream.poll_write_with(cx, |s| s.try_write(buf)))?;
         self.meter.wrote(&buf[..wrote]);
         Poll::Ready(Ok(wrote))
     }
@@ -114,7 +114,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.stream.end_writes())
+        Poll::Ready(self.stream.shutdown_write())
     }
 }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,6 +1,7 @@
 use super::connection_table::{Place, Places};
 use super::request_framing::Framing;
-use super::{GuardedBody, ResponseBody, Shared};
+use super::socket::SharedSocket;
+use super::{GuardedBody, ResponseBody};
 use bytes::BytesMut;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, TRANSFER_ENCODING};
@@ -99,7 +100,7 @@
         let mut ahead = self.client.ahead.borrow_mut();
         let before = buf.filled().len();
         if ahead.is_empty() {
-            std::task::ready!(self.client.stream.poll_read_once(cx, |s| s.try_read_buf(buf)))?;
+            std::task::ready!(self.client.stream.poll_read_with(cx, |s| s.try_read_buf(buf)))?;
         } else {
             let length = ahead.len().min(buf.remaining());
             buf.put_slice(&ahead.split_to(length));
@@ -114,7 +115,7 @@
 
 impl AsyncWrite for Patient {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = self.client.stream.poll_write_once(cx, |s| s.try_write(buf));
+        let wrote = self.client.stream.poll_write_with(cx, |s| s.try_write(buf));
         self.timed(cx, wrote)
     }
 
@@ -123,7 +124,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = self.client.stream.poll_write_once(cx, |s| s.try_write_vectored(bufs));
+        let wrote = self.client.stream.poll_write_with(cx, |s| s.try_write_vectored(bufs));
         self.timed(cx, wrote)
     }
 
@@ -137,7 +138,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.client.stream.end_writes())
+        Poll::Ready(self.client.stream.shutdown_write())
     }
 }
 
@@ -268,7 +269,7 @@
             {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok::<_, Infallible>(answer.map(|body| GuardedBody(body, serving).boxed()))
+            Ok::<_, Infallible>(answer.map(|body| GuardedBody::new(body, serving).boxed()))
         })
     });
     let mut look = tokio::time::interval(LOOK);
@@ -307,10 +308,10 @@
 /// Ends this side of the connection and reads what is still sent. Guards against a reset that would take the
 /// answer from a client that is still sending, as one whose body was refused by its head.
 async fn linger(stream: &TcpStream) -> io::Result<()> {
-    stream.end_writes()?;
+    stream.shutdown_write()?;
     let mut dropped = vec![0; BUFFER];
     loop {
-        let read = std::future::poll_fn(|cx| stream.poll_read_once(cx, |s| s.try_read(&mut dropped)));
+        let read = std::future::poll_fn(|cx| stream.poll_read_with(cx, |s| s.try_read(&mut dropped)));
         if tokio::time::timeout(LINGER_SILENT, read).await?? == 0 {
             return Ok(());
         }
