--- a/src/transport/connection_pool.rs
+++ b/src/transport/connection_pool.rs
@@ -1,4 +1,4 @@
-use super::node_connection::{ExchangeError, NodeConnection, unreadable};
+use super::node_connection::{ExchangeError, NodeConnection};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Frame, Incoming};
@@ -88,6 +88,16 @@
     Cancelled,
 }
 
+impl From<ExchangeError> for ExchangeEvent {
+    fn from(error: ExchangeError) -> Self {
+        match error {
+            ExchangeError::NotSent => ExchangeEvent::ConnectFailed,
+            ExchangeError::ConnectionReset => ExchangeEvent::ConnectionReset,
+            ExchangeError::MalformedResponse => ExchangeEvent::MalformedResponse,
+        }
+    }
+}
+
 /// The body of a streamed answer.
 #[derive(Debug)]
 pub struct StreamedBody(mpsc::Receiver<io::Result<Bytes>>);
@@ -253,7 +263,7 @@
         // The connection is as good as before.
         None => (ExchangeEvent::NotStarted, true),
     };
-    let sent = pooled.conn.sent();
+    let sent = pooled.conn.is_request_written();
     let end = match end {
         // Given up before its last byte was out: it never ran.
         ExchangeEvent::TimedOut if !sent => ExchangeEvent::ConnectFailed,
@@ -287,7 +297,7 @@
     let interim = Arc::new(AtomicBool::new(false));
     let told = interim.clone();
     hyper::ext::on_informational(&mut request, move |_| told.store(true, Ordering::Relaxed));
-    let listener = conn.listener();
+    let read_activity = conn.reset_read_activity();
     let mut exchange = pin!(conn.exchange(request));
     // A head that has begun and does not go on would hold the request until its time is up.
     let mut stalls: Option<Instant> = None;
@@ -296,23 +306,21 @@
             biased;
             _ = &mut job.cancelled => return (ExchangeEvent::Cancelled, false),
             answer = &mut exchange => break answer,
-            () = listener.heard(), if stalls.is_none() => stalls = Some(Instant::now() + job.stall_timeout),
+            () = read_activity.received(), if stalls.is_none() => stalls = Some(Instant::now() + job.stall_timeout),
             () = tokio::time::sleep_until(job.deadline) => return (ExchangeEvent::TimedOut, false),
             () = tokio::time::sleep_until(stalls.unwrap_or(job.deadline)), if stalls.is_some() => {
                 // 1xx answers tell that the true one is to come, not when.
                 if !interim.swap(false, Ordering::Relaxed) {
                     return (ExchangeEvent::MalformedResponse, false);
                 }
-                listener.forget();
+                read_activity.reset();
                 stalls = None;
             }
         }
     };
     let (head, mut body) = match answered {
         Ok(answer) => answer.into_parts(),
-        Err(ExchangeError::NotSent) => return (ExchangeEvent::ConnectFailed, false),
-        Err(ExchangeError::ConnectionReset) => return (ExchangeEvent::ConnectionReset, false),
-        Err(ExchangeError::MalformedResponse) => return (ExchangeEvent::MalformedResponse, false),
+        Err(error) => return (error.into(), false),
     };
     let expected = hyper::body::Body::size_hint(&body);
     if job.streaming.applies(expected.lower(), head.status, &head.headers) {
@@ -334,8 +342,7 @@
         match frame {
             None => return (ExchangeEvent::Completed(Response::from_parts(head, bytes.freeze())), true),
             Some(Ok(frame)) => bytes.extend_from_slice(frame.data_ref().map_or(&[], |d| d)),
-            Some(Err(e)) if unreadable(&e) => return (ExchangeEvent::MalformedResponse, false),
-            Some(Err(_)) => return (ExchangeEvent::ConnectionReset, false),
+            Some(Err(error)) => return (ExchangeError::from_receive_error(&error).into(), false),
         }
         if bytes.len() > job.max_body_len {
             return (ExchangeEvent::MalformedResponse, false);
--- a/src/transport/node_connection.rs
+++ b/src/transport/node_connection.rs
@@ -1,195 +1,129 @@
-use super::socket::SharedSocket;
+//! One HTTP/1 connection to a storage node.
+
+mod monitored_stream;
+mod write_progress;
+
+use self::monitored_stream::{MonitoredStream, ReadActivity};
+use self::write_progress::WriteProgress;
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::body::Incoming;
+use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
-use std::cell::Cell;
+use std::error::Error;
 use std::io;
 use std::mem::MaybeUninit;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
-use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// How an exchange came to nothing.
+/// The head of a response must fit into this, in bytes: one that never ends is given up.
+const MAX_HEAD_LEN: usize = 16 * 1024;
+
+/// Why an exchange brought no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The request's last byte was never written: the other side has not begun it.
+    /// The request's last byte was never written: the node has not begun it.
     #[error("the connection broke before the request was written")]
     NotSent,
-    /// The request was written whole, or that is not known.
+    /// The request was written completely, or may have been.
     #[error("the connection broke after the request was written")]
     ConnectionReset,
-    /// The request was written whole, and what came back is no answer.
+    /// The request was written completely, and what came back is not a response.
     #[error("the answer cannot be read")]
     MalformedResponse,
 }
 
-/// Whether an error means that what came cannot be read, rather than that the connection broke.
-pub fn unreadable(error: &hyper::Error) -> bool {
-    use io::ErrorKind::{
-        BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof,
-    };
-    let source = std::error::Error::source(error).and_then(|s| s.downcast_ref::<io::Error>());
-    let broke = [BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof];
-    error.is_parse() || source.is_some_and(|e| !broke.contains(&e.kind()))
-}
-
-/// The head of an answer must fit into this, in bytes: one that never ends is given up.
-const HEAD_MOST: usize = 16 * 1024;
-
-/// How much of the request in hand is written. hyper does not tell: it says that a message failed, not
-/// whether its last byte had gone, and on that hangs whether the node may have run it.
-#[derive(Default)]
-struct Meter {
-    /// Bytes of the body that are to follow the head.
-    body: Cell<usize>,
-    /// How much of the blank line that ends the head has been seen; four once the head is out.
-    blank: Cell<usize>,
-    written: Cell<usize>,
-    /// Whether anything of an answer has come.
-    heard: Cell<bool>,
-    hears: Notify,
-}
-
-impl Meter {
-    fn begin(&self, body: usize) {
-        self.body.set(body);
-        self.blank.set(0);
-        self.written.set(0);
-    }
-
-    fn wrote(&self, bytes: &[u8]) {
-        let mut blank = self.blank.get();
-        for (at, byte) in bytes.iter().enumerate() {
-            if blank == 4 {
-                self.written.set(self.written.get() + bytes.len() - at);
-                break;
-            }
-            blank = match (*byte, blank) {
-                (b'\r', 0 | 2) | (b'\n', 1 | 3) => blank + 1,
-                (b'\r', _) => 1,
-                _ => 0,
-            };
-        }
-        self.blank.set(blank);
-    }
-
-    fn complete(&self) -> bool {
-        self.blank.get() == 4 && self.written.get() >= self.body.get()
-    }
-}
-
-struct Metered {
-    stream: Rc<TcpStream>,
-    meter: Rc<Meter>,
-}
-
-impl AsyncRead for Metered {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if std::task::ready!(self.stream.poll_read_with(cx, |s| s.try_read_buf(buf)))? > 0 {
-            self.meter.heard.set(true);
-            self.meter.hears.notify_one();
-        }
-        Poll::Ready(Ok(()))
+impl ExchangeError {
+    /// Classifies an error that came after the request was written.
+    pub(super) fn from_receive_error(error: &hyper::Error) -> Self {
+        if is_malformed(error) { ExchangeError::MalformedResponse } else { ExchangeError::ConnectionReset }
     }
 }
 
-impl AsyncWrite for Metered {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = std::task::ready!(self.stream.poll_write_with(cx, |s| s.try_write(buf)))?;
-        self.meter.wrote(&buf[..wrote]);
-        Poll::Ready(Ok(wrote))
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.stream.shutdown_write())
-    }
+/// Whether an error means that what came cannot be parsed, rather than that the connection broke.
+fn is_malformed(error: &hyper::Error) -> bool {
+    use io::ErrorKind::{
+        BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof,
+    };
+    let source = error.source().and_then(|source| source.downcast_ref::<io::Error>());
+    let broken = [BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof];
+    error.is_parse() || source.is_some_and(|source| !broken.contains(&source.kind()))
 }
 
 /// A connection that carries one request at a time. Dropping it closes it, whatever it is doing.
 pub struct NodeConnection {
-    send: SendRequest<Full<Bytes>>,
+    sender: SendRequest<Full<Bytes>>,
     stream: Rc<TcpStream>,
-    meter: Rc<Meter>,
+    write_progress: Rc<WriteProgress>,
+    read_activity: Rc<ReadActivity>,
     driver: JoinHandle<()>,
 }
 
 impl NodeConnection {
     /// Opens a connection. Must be called on a `LocalSet`.
+    ///
+    /// # Errors
+    ///
+    /// Any error of connecting the socket.
     pub async fn connect(address: SocketAddr) -> io::Result<NodeConnection> {
         let stream = Rc::new(TcpStream::connect(address).await?);
         stream.set_nodelay(true)?;
-        let meter = Rc::new(Meter::default());
-        let io = TokioIo::new(Metered { stream: stream.clone(), meter: meter.clone() });
-        let (send, connection) =
-            http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io).await.map_err(io::Error::other)?;
-        // The error reaches whoever waits for the answer; here it only ends the driver.
+        let write_progress = Rc::<WriteProgress>::default();
+        let read_activity = Rc::<ReadActivity>::default();
+        let io = TokioIo::new(MonitoredStream {
+            stream: stream.clone(),
+            write_progress: write_progress.clone(),
+            read_activity: read_activity.clone(),
+        });
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_LEN).handshake(io);
+        let (sender, connection) = handshake.await.map_err(io::Error::other)?;
+        // The error reaches whoever waits for the response; here it only ends the driver.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) });
-        Ok(NodeConnection { send, stream, meter, driver })
+        Ok(NodeConnection { sender, stream, write_progress, read_activity, driver })
     }
 
-    /// Whether it can take a request: nothing has come on it since the last answer, and the other side has
-    /// not closed it. The socket itself is asked, as hyper hears of it only in the runtime's next turn: a
-    /// second copy of the last answer would be taken for that to the next request.
+    /// Whether it can take a request: nothing has come on it since the last response, and the node has not
+    /// closed it.
+    ///
+    /// This queries the socket itself, as hyper learns of it only in the runtime's next turn: a second copy
+    /// of the last response would be taken for the response to the next request.
     pub fn is_reusable(&self) -> bool {
-        let quiet = |e: &io::Error| e.kind() == io::ErrorKind::WouldBlock;
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
-        self.send.is_ready() && peeked.is_err_and(|e| quiet(&e))
+        self.sender.is_ready() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Tells when something of the answer to the next request has come; what came before does not count.
-    pub fn listener(&self) -> Listener {
-        self.meter.heard.set(false);
-        Listener(self.meter.clone())
-    }
-
-    /// Sends the request once, and waits for the head of the answer.
+    /// Sends the request once, and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// [`ExchangeError`] tells whether the node may have begun the request.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        self.meter.begin(hyper::body::Body::size_hint(request.body()).lower() as usize);
-        self.send.try_send_request(request).await.map_err(|failed| {
-            match failed.message().is_some() || !self.meter.complete() {
-                true => ExchangeError::NotSent,
-                false if unreadable(failed.error()) => ExchangeError::MalformedResponse,
-                false => ExchangeError::ConnectionReset,
+        self.write_progress.start_request(request.body().size_hint().lower() as usize);
+        self.sender.try_send_request(request).await.map_err(|failed| {
+            if failed.message().is_some() || !self.write_progress.is_complete() {
+                ExchangeError::NotSent
+            } else {
+                ExchangeError::from_receive_error(failed.error())
             }
         })
     }
 
-    /// Whether the request in hand is written whole.
-    pub fn sent(&self) -> bool {
-        self.meter.complete()
-    }
-}
-
-/// Hears of a connection's incoming bytes.
-pub struct Listener(Rc<Meter>);
-
-impl Listener {
-    /// Resolves once something has come since then, or since `forget`.
-    pub async fn heard(&self) {
-        while !self.0.heard.get() {
-            self.0.hears.notified().await;
-        }
+    /// The record of incoming bytes, reset: what came before does not count.
+    pub(super) fn reset_read_activity(&self) -> Rc<ReadActivity> {
+        self.read_activity.reset();
+        self.read_activity.clone()
     }
 
-    /// What has come so far does not count.
-    pub fn forget(&self) {
-        self.0.heard.set(false);
+    /// Whether the current request has been written completely.
+    pub(super) fn is_request_written(&self) -> bool {
+        self.write_progress.is_complete()
     }
 }
 
@@ -198,23 +132,3 @@
         self.driver.abort();
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::Meter;
-
-    #[test]
-    fn a_request_is_complete_with_its_last_byte_however_it_is_cut_up() {
-        let text = b"PUT /a HTTP/1.1\r\nx: \r\r\n\r\nbody";
-        for cut in 0..text.len() {
-            let meter = Meter::default();
-            meter.begin(4);
-            meter.wrote(&text[..cut]);
-            assert!(!meter.complete(), "{cut} bytes are not all");
-            meter.wrote(&text[cut..]);
-            assert!(meter.complete());
-            meter.begin(4);
-            assert!(!meter.complete(), "the next request has not begun");
-        }
-    }
-}
--- a/src/transport/request_framing/tests.rs
+++ b/src/transport/request_framing/tests.rs
@@ -1,23 +1,23 @@
-use super::Framing;
+use super::RequestFraming;
 
 #[test]
-fn a_length_stated_twice_is_found_however_the_bytes_are_cut() {
+fn finds_conflicting_length_wherever_the_bytes_are_split() {
     let (length, chunked) = ("Content-length: 3\r\n", "TRANSFER-ENCODING:chunked\r\n");
     let first =
         format!("\r\nPUT /a HTTP/1.1\r\n{length}\r\n\r\n\nGET /b HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(99));
-    for (heads, conflicting_length) in [
+    for (fields, conflicting_length) in [
         (format!("{length}{chunked}"), true),
         (format!("{chunked}{length}"), true),
         (format!("{chunked}x: content-length: 3\r\n"), false),
         (length.to_string(), false),
     ] {
         let text =
-            format!("{first}PUT /c HTTP/1.1\r\n{heads}\r\n0\r\n\r\nPUT /d HTTP/1.1\r\n{length}{chunked}");
-        for cut in 0..text.len() {
-            let mut framing = Framing::default();
-            framing.feed(&text.as_bytes()[..cut]);
-            framing.feed(&text.as_bytes()[cut..]);
-            assert_eq!(framing.conflicting_length(), conflicting_length, "{text:?} cut at {cut}");
+            format!("{first}PUT /c HTTP/1.1\r\n{fields}\r\n0\r\n\r\nPUT /d HTTP/1.1\r\n{length}{chunked}");
+        for split in 0..text.len() {
+            let mut framing = RequestFraming::default();
+            framing.feed(&text.as_bytes()[..split]);
+            framing.feed(&text.as_bytes()[split..]);
+            assert_eq!(framing.conflicting_length(), conflicting_length, "{text:?} split at {split}");
         }
     }
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,5 +1,5 @@
 use super::connection_table::{Place, Places};
-use super::request_framing::Framing;
+use super::request_framing::RequestFraming;
 use super::socket::SharedSocket;
 use super::{GuardedBody, ResponseBody};
 use bytes::BytesMut;
@@ -45,7 +45,7 @@
 struct Client {
     stream: TcpStream,
     ahead: RefCell<BytesMut>,
-    framing: RefCell<Framing>,
+    framing: RefCell<RequestFraming>,
 }
 
 impl Client {
