--- /dev/null
+++ b/src/transport/client_connection.rs
@@ -0,0 +1,182 @@
+//! One client connection: requests are read from it and answered until it is closed.
+
+use super::client_stream::{ClientStream, READ_BUFFER_LEN, ReadAhead};
+use super::connection_table::{ConnectionSlot, ConnectionTable, StartedRequest};
+use super::lifecycle::LifecyclePhase;
+use super::socket::SharedSocket;
+use super::{GuardedBody, ResponseBody};
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue, TRANSFER_ENCODING};
+use hyper::server::conn::http1;
+use hyper::service::{HttpService, service_fn};
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::future::{Future, poll_fn};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::time::{Instant, MissedTickBehavior};
+
+/// How long bytes that a client still sends are read and discarded before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The same for a client that sends nothing more.
+const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
+/// The same as [`LINGER_TIMEOUT`] while the program stops.
+const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
+/// How often a client that keeps sending behind its request is checked for having disconnected: the platform
+/// wants nothing forwarded more than 0.1 s after a client has disconnected.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How a request came.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestContext {
+    /// Whether it is to be served.
+    pub admission: Admission,
+    /// When the first of its bytes came.
+    pub started_at: Instant,
+    /// Whether it is chunked and states the length of its body as well.
+    pub conflicting_length: bool,
+}
+
+/// Whether a request is to be served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// To be served.
+    Admitted,
+    /// Too many connections: to be rejected.
+    Overloaded,
+}
+
+/// How the exchange of messages on a connection ended.
+enum ConnectionEnd {
+    /// The last response is written, or the connection broke.
+    Finished,
+    /// The client disconnected during a request, or the connection expired.
+    Abandoned,
+}
+
+/// One connection of a client.
+pub(super) struct ClientConnection<S> {
+    read_ahead: Rc<ReadAhead>,
+    slot: Arc<ConnectionSlot>,
+    table: Rc<ConnectionTable>,
+    phase: watch::Receiver<LifecyclePhase>,
+    service: Rc<S>,
+}
+
+impl<S, F> ClientConnection<S>
+where
+    S: Fn(Request<Incoming>, RequestContext) -> F,
+    F: Future<Output = Response<ResponseBody>>,
+{
+    /// A connection that has just been accepted.
+    pub(super) fn new(
+        stream: TcpStream,
+        slot: Arc<ConnectionSlot>,
+        table: Rc<ConnectionTable>,
+        phase: watch::Receiver<LifecyclePhase>,
+        service: Rc<S>,
+    ) -> Self {
+        // Without it responses would only be slower.
+        let _ = stream.set_nodelay(true);
+        ClientConnection { read_ahead: Rc::new(ReadAhead::new(stream)), slot, table, phase, service }
+    }
+
+    /// Serves requests until the connection can be closed.
+    pub(super) async fn serve(&self) {
+        let io = TokioIo::new(ClientStream::new(self.read_ahead.clone(), self.slot.clone()));
+        let mut connection = http1::Builder::new()
+            .header_read_timeout(None)
+            .max_buf_size(READ_BUFFER_LEN)
+            .serve_connection(io, service_fn(|request| self.respond(request)));
+        match self.drive(&mut connection).await {
+            ConnectionEnd::Finished => self.linger().await,
+            ConnectionEnd::Abandoned => {}
+        }
+    }
+
+    /// Passes one request to the service and prepares its response.
+    fn respond(
+        &self,
+        request: Request<Incoming>,
+    ) -> Pin<Box<impl Future<Output = Result<Response<ResponseBody>, Infallible>>>> {
+        let StartedRequest { started_at, guard } = self.slot.start_request();
+        let admission =
+            if self.table.admits(&self.slot) { Admission::Admitted } else { Admission::Overloaded };
+        let chunked = request.headers().contains_key(TRANSFER_ENCODING);
+        let conflicting_length = chunked && self.read_ahead.conflicting_length();
+        let response = (self.service)(request, RequestContext { admission, started_at, conflicting_length });
+        Box::pin(async move {
+            let mut response = response.await;
+            // To an intermediary, bytes behind a body without a stated length may be the rest of that body.
+            if chunked || admission == Admission::Overloaded || self.responses_are_final() {
+                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            }
+            Ok(response.map(|body| GuardedBody::new(body, guard).boxed()))
+        })
+    }
+
+    fn responses_are_final(&self) -> bool {
+        *self.phase.borrow() >= LifecyclePhase::FinalResponses
+    }
+
+    /// Runs hyper's side of the connection, and watches for whatever else may end it.
+    async fn drive<H>(&self, connection: &mut http1::Connection<TokioIo<ClientStream>, H>) -> ConnectionEnd
+    where
+        H: HttpService<Incoming, ResBody = ResponseBody, Error = Infallible> + Unpin,
+        H::Future: Unpin,
+    {
+        let mut check_interval = tokio::time::interval(DISCONNECT_CHECK_INTERVAL);
+        check_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut phase = self.phase.clone();
+        let mut closing = false;
+        loop {
+            tokio::select! {
+                biased;
+                // A connection that breaks cancels its request by dropping the response future.
+                _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ConnectionEnd::Finished,
+                // So does one whose client disconnected unnoticed by hyper.
+                () = poll_fn(|cx| match self.slot.is_serving_request() {
+                    true => self.read_ahead.poll_closed(cx, &mut check_interval),
+                    false => Poll::Pending,
+                }) => return ConnectionEnd::Abandoned,
+                _ = phase.wait_for(|phase| *phase == LifecyclePhase::ClosingIdle), if !closing => {
+                    closing = true;
+                    // hyper takes a connection for idle when half of a second request has come. That request
+                    // is answered, and its response closes the connection.
+                    if !self.slot.is_reading_head() {
+                        Pin::new(&mut *connection).graceful_shutdown();
+                    }
+                }
+                () = self.slot.expired() => return ConnectionEnd::Abandoned,
+            }
+        }
+    }
+
+    /// Closes the connection once the client has read its response, or has had the time to.
+    async fn linger(&self) {
+        self.slot.start_closing();
+        let timeout = if self.responses_are_final() { SHUTDOWN_LINGER_TIMEOUT } else { LINGER_TIMEOUT };
+        // What a client sends after that is not worth waiting for.
+        let _ = tokio::time::timeout(timeout, discard_until_closed(self.read_ahead.stream())).await;
+    }
+}
+
+/// Closes this side of the connection and reads what is still sent. Guards against a reset that would take
+/// the response from a client that is still sending, such as one whose request was rejected by its head.
+async fn discard_until_closed(stream: &TcpStream) -> io::Result<()> {
+    stream.shutdown_write()?;
+    let mut discarded = vec![0; READ_BUFFER_LEN];
+    loop {
+        let read = poll_fn(|cx| stream.poll_read_with(cx, |stream| stream.try_read(&mut discarded)));
+        if tokio::time::timeout(LINGER_SILENCE_TIMEOUT, read).await?? == 0 {
+            return Ok(());
+        }
+    }
+}
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -1,190 +1,223 @@
-//! What each client's connection is doing, and which is let go when there are too many.
+//! What the connection of each client is doing, and which are evicted when descriptors are short.
 
 use std::cell::{Cell, RefCell};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
 /// How long a client may take over the head of a request, from its connection or its first byte. The platform
-/// owes those that never end it a close within 3 s.
-const HEAD_TIME: Duration = Duration::from_millis(2_400);
+/// requires that a client which never ends its head is disconnected within 3 s.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// An idle connection is closed after so long.
-const IDLE_TIME: Duration = Duration::from_secs(20);
-/// Where places are short, connections may be let go once they have said nothing, not ended a head, or had no
-/// request open for so long.
-const SILENT_LEAST: Duration = Duration::from_millis(50);
-const HEAD_LEAST: Duration = Duration::from_secs(1);
-const IDLE_LEAST: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// When the table is full, a connection may be evicted once its client has sent nothing for so long.
+const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
+/// When the table is full, a connection may be evicted once its client has been sending a head for so long.
+const MIN_HEAD_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(1);
+/// When the table is full, a connection may be evicted once it has been idle for so long.
+const MIN_IDLE_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum ConnectionState {
     /// Nothing has come yet.
-    Silent,
+    AwaitingFirstByte,
     /// A head has begun.
-    Head,
-    /// A request is open, until its answer is written.
-    Busy,
+    ReadingHead,
+    /// A request is in progress, until its response is written.
+    ServingRequest,
     /// Between requests.
     Idle,
-    /// To be closed; whatever is still read on it is dropped.
+    /// To be closed; whatever is still read on it is discarded.
     Closing,
 }
 
-/// One connection's place.
-pub struct Place {
-    number: u64,
-    state: Mutex<(State, Instant)>,
-    welcome: Mutex<bool>,
-    let_go: Notify,
+#[derive(Clone, Copy, Debug)]
+struct SlotStatus {
+    state: ConnectionState,
+    since: Instant,
 }
 
-impl Place {
-    /// Bodies of answers are built to be sent between threads, though here there is only one.
-    fn state(&self) -> MutexGuard<'_, (State, Instant)> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+impl SlotStatus {
+    fn now(state: ConnectionState) -> Self {
+        SlotStatus { state, since: Instant::now() }
+    }
+}
+
+/// The place of one connection in the table.
+pub(super) struct ConnectionSlot {
+    id: u64,
+    /// Behind a mutex because bodies of responses, which hold a [`RequestGuard`], must be `Send`, though
+    /// there is only one thread.
+    status: Mutex<SlotStatus>,
+    admitted: AtomicBool,
+    evicted: Notify,
+}
+
+/// A request that has just begun on a connection.
+pub(super) struct StartedRequest {
+    /// When its first byte came.
+    pub(super) started_at: Instant,
+    /// To be held until its response is written.
+    pub(super) guard: RequestGuard,
+}
+
+impl ConnectionSlot {
+    fn status(&self) -> MutexGuard<'_, SlotStatus> {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn set(&self, state: State) {
-        *self.state() = (state, Instant::now());
+    fn state(&self) -> ConnectionState {
+        self.status().state
     }
 
-    /// Something has come from the client.
-    pub fn heard(&self) {
-        if matches!(self.state().0, State::Silent | State::Idle) {
-            self.set(State::Head);
+    fn set_state(&self, state: ConnectionState) {
+        *self.status() = SlotStatus::now(state);
+    }
+
+    /// Records that bytes have come from the client.
+    pub(super) fn record_received_bytes(&self) {
+        if matches!(self.state(), ConnectionState::AwaitingFirstByte | ConnectionState::Idle) {
+            self.set_state(ConnectionState::ReadingHead);
         }
     }
 
-    /// A request is open until what this returns is dropped; also when its first byte came.
-    pub fn begin(this: &Arc<Place>) -> (Instant, Serving) {
-        let (state, since) = *this.state();
-        this.set(State::Busy);
-        (if state == State::Head { since } else { Instant::now() }, Serving(this.clone()))
+    /// Records that the head of a request is complete.
+    pub(super) fn start_request(self: &Arc<Self>) -> StartedRequest {
+        let previous = *self.status();
+        self.set_state(ConnectionState::ServingRequest);
+        let started_at = match previous.state {
+            ConnectionState::ReadingHead => previous.since,
+            _ => Instant::now(),
+        };
+        StartedRequest { started_at, guard: RequestGuard(self.clone()) }
     }
 
     /// Whether a request has begun to come.
-    pub fn reading(&self) -> bool {
-        self.state().0 == State::Head
+    pub(super) fn is_reading_head(&self) -> bool {
+        self.state() == ConnectionState::ReadingHead
+    }
+
+    /// Whether a request is in progress.
+    pub(super) fn is_serving_request(&self) -> bool {
+        self.state() == ConnectionState::ServingRequest
     }
 
-    /// Whether a request is open.
-    pub fn busy(&self) -> bool {
-        self.state().0 == State::Busy
+    /// Records that the connection is about to be closed: it no longer counts.
+    pub(super) fn start_closing(&self) {
+        self.set_state(ConnectionState::Closing);
     }
 
-    /// From now on its place is needed at once.
-    pub fn close(&self) {
-        self.set(State::Closing);
+    fn evict(&self) {
+        self.start_closing();
+        self.evicted.notify_one();
     }
 
-    /// Resolves once the connection is to be let go: its client has taken too long, or its place is needed.
-    pub async fn overdue(&self) {
+    /// Resolves once the connection is to be closed: its client has taken too long, or it has been evicted.
+    pub(super) async fn expired(&self) {
         loop {
-            let (state, since) = *self.state();
-            let until = match state {
-                State::Silent | State::Head => since + HEAD_TIME,
-                State::Idle => since + IDLE_TIME,
-                State::Busy => Instant::now() + HEAD_TIME,
-                State::Closing => return,
+            let SlotStatus { state, since } = *self.status();
+            let deadline = match state {
+                ConnectionState::AwaitingFirstByte | ConnectionState::ReadingHead => since + HEAD_TIMEOUT,
+                ConnectionState::Idle => since + IDLE_TIMEOUT,
+                // A request has its own deadline; this is when to look again.
+                ConnectionState::ServingRequest => Instant::now() + HEAD_TIMEOUT,
+                ConnectionState::Closing => return,
             };
-            if until <= Instant::now() {
+            if deadline <= Instant::now() {
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep_until(until) => {}
-                () = self.let_go.notified() => {}
+                () = tokio::time::sleep_until(deadline) => {}
+                () = self.evicted.notified() => {}
             }
         }
     }
 }
 
-/// Keeps a place busy.
-pub struct Serving(Arc<Place>);
+/// Marks a connection as serving a request until it is dropped.
+pub(super) struct RequestGuard(Arc<ConnectionSlot>);
 
-impl Drop for Serving {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        if self.0.state().0 == State::Busy {
-            self.0.set(State::Idle);
+        if self.0.is_serving_request() {
+            self.0.set_state(ConnectionState::Idle);
         }
     }
 }
 
-/// The places of one listener.
-pub struct Places {
-    most: usize,
-    next: Cell<u64>,
-    taken: RefCell<Vec<Arc<Place>>>,
+/// The connections of one listener.
+pub(super) struct ConnectionTable {
+    /// How many connections are served.
+    capacity: usize,
+    next_id: Cell<u64>,
+    slots: RefCell<Vec<Arc<ConnectionSlot>>>,
 }
 
-impl Places {
-    /// So many are served at the most.
-    pub fn new(most: usize) -> Self {
-        Places { most, next: Cell::new(0), taken: RefCell::default() }
-    }
-
-    /// A place for a new connection.
-    pub fn take(&self) -> Arc<Place> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let place = Arc::new(Place {
-            number,
-            state: Mutex::new((State::Silent, Instant::now())),
-            welcome: Mutex::new(false),
-            let_go: Notify::new(),
+impl ConnectionTable {
+    /// A table that serves at most `capacity` connections.
+    pub(super) fn new(capacity: usize) -> Self {
+        ConnectionTable { capacity, next_id: Cell::new(0), slots: RefCell::default() }
+    }
+
+    /// Adds a new connection.
+    pub(super) fn insert(&self) -> Arc<ConnectionSlot> {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let slot = Arc::new(ConnectionSlot {
+            id,
+            status: Mutex::new(SlotStatus::now(ConnectionState::AwaitingFirstByte)),
+            admitted: AtomicBool::new(false),
+            evicted: Notify::new(),
         });
-        self.taken.borrow_mut().push(place.clone());
-        place
+        self.slots.borrow_mut().push(slot.clone());
+        slot
     }
 
-    /// Its connection is closed.
-    pub fn leave(&self, place: &Arc<Place>) {
-        self.taken.borrow_mut().retain(|p| p.number != place.number);
+    /// Removes a connection that is closed.
+    pub(super) fn remove(&self, slot: &ConnectionSlot) {
+        self.slots.borrow_mut().retain(|other| other.id != slot.id);
     }
 
-    /// Whether a request on this place is served: once it was, it stays so.
-    pub fn welcomes(&self, place: &Place) -> bool {
-        let mut welcome = place.welcome.lock().unwrap_or_else(PoisonError::into_inner);
-        *welcome |= self.held() <= self.most;
-        *welcome
+    /// Whether a request on this connection is served. A connection that was admitted once stays admitted.
+    pub(super) fn admits(&self, slot: &ConnectionSlot) -> bool {
+        if self.open_count() <= self.capacity {
+            slot.admitted.store(true, Ordering::Relaxed);
+        }
+        slot.admitted.load(Ordering::Relaxed)
     }
 
-    /// Whether places are short.
-    pub fn crowded(&self) -> bool {
-        self.held() >= self.most
+    /// Whether one more connection would exceed the capacity.
+    pub(super) fn is_full(&self) -> bool {
+        self.open_count() >= self.capacity
     }
 
-    fn held(&self) -> usize {
-        self.taken.borrow().iter().filter(|p| p.state().0 != State::Closing).count()
+    /// How many connections are not closing.
+    fn open_count(&self) -> usize {
+        self.slots.borrow().iter().filter(|slot| slot.state() != ConnectionState::Closing).count()
     }
 
-    /// Where places are short, lets go whoever says nothing, then the slowest heads, then as many of those
-    /// that have been idle longest as there are too many.
-    pub fn relieve(&self) {
-        if !self.crowded() {
+    /// When the table is full, evicts connections on which nothing has come, then the slowest heads, then as
+    /// many of those that have been idle longest as exceed the capacity, counting one more to come.
+    pub(super) fn evict_stale(&self) {
+        if !self.is_full() {
             return;
         }
-        let taken = self.taken.borrow();
+        let slots = self.slots.borrow();
         let mut idle = Vec::new();
-        for place in taken.iter() {
-            let (state, since) = *place.state();
-            let time = since.elapsed();
+        for slot in slots.iter() {
+            let SlotStatus { state, since } = *slot.status();
+            let elapsed = since.elapsed();
             match state {
-                State::Silent if time >= SILENT_LEAST => place.let_go(),
-                State::Head if time >= HEAD_LEAST => place.let_go(),
-                State::Idle if time >= IDLE_LEAST => idle.push((since, place)),
+                ConnectionState::AwaitingFirstByte if elapsed >= MIN_SILENCE_BEFORE_EVICTION => slot.evict(),
+                ConnectionState::ReadingHead if elapsed >= MIN_HEAD_TIME_BEFORE_EVICTION => slot.evict(),
+                ConnectionState::Idle if elapsed >= MIN_IDLE_TIME_BEFORE_EVICTION => idle.push((since, slot)),
                 _ => {}
             }
         }
         idle.sort_by_key(|(since, _)| *since);
-        let over = (self.held() + 1).saturating_sub(self.most);
-        idle.into_iter().take(over).for_each(|(_, place)| place.let_go());
-    }
-}
-
-impl Place {
-    fn let_go(&self) {
-        self.close();
-        self.let_go.notify_one();
+        let excess = (self.open_count() + 1).saturating_sub(self.capacity);
+        idle.into_iter().take(excess).for_each(|(_, slot)| slot.evict());
     }
 }
