--- a/src/transport/connection_pool/tests.rs
+++ b/src/transport/connection_pool/tests.rs
@@ -1,40 +1,40 @@
-use super::{Pooled, rested};
+use super::{PooledConnection, take_reusable};
 use crate::transport::NodeConnection;
 use std::io::Write;
-use std::net::TcpListener;
+use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Connections that have just answered, and the peer's ends of them. The clock stands still.
-async fn answered(count: usize) -> (Vec<Pooled>, Vec<std::net::TcpStream>) {
+/// Connections that have just brought a response, and the node's ends of them. The clock stands still.
+async fn just_used_connections(count: usize) -> (Vec<PooledConnection>, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let permits = Arc::new(Semaphore::new(count));
-    let (mut idle, mut ends) = (Vec::new(), Vec::new());
+    let (mut idle, mut node_ends) = (Vec::new(), Vec::new());
     for _ in 0..count {
-        let conn = NodeConnection::connect(listener.local_addr().unwrap()).await.unwrap();
-        ends.push(listener.accept().unwrap().0);
+        let connection = NodeConnection::connect(listener.local_addr().unwrap()).await.unwrap();
+        node_ends.push(listener.accept().unwrap().0);
         let permit = permits.clone().try_acquire_owned().unwrap();
-        idle.push(Pooled { conn, used: Instant::now(), _permit: permit });
+        idle.push(PooledConnection { connection, last_used: Instant::now(), _permit: permit });
     }
     tokio::time::pause();
-    idle.iter_mut().for_each(|p| p.used = Instant::now());
-    (idle, ends)
+    idle.iter_mut().for_each(|pooled| pooled.last_used = Instant::now());
+    (idle, node_ends)
 }
 
 #[tokio::test]
-async fn a_connection_rests_while_a_second_answer_may_come() {
+async fn connection_is_not_reused_while_a_duplicate_response_may_come() {
     let test = async {
-        let (mut idle, mut ends) = answered(2).await;
-        // Some milliseconds on the second answer may still be on its way.
+        let (mut idle, mut node_ends) = just_used_connections(2).await;
+        // Some milliseconds on the second response may still be on its way.
         tokio::time::advance(Duration::from_millis(9)).await;
-        assert!(rested(&mut idle).is_none(), "it would be taken for the answer to the next request");
-        ends[1].write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+        assert!(take_reusable(&mut idle).is_none(), "it would be taken for the response to the next request");
+        node_ends[1].write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
         tokio::time::advance(Duration::from_millis(11)).await;
-        let first = rested(&mut idle).expect("the one on which nothing came");
-        assert!(idle.is_empty(), "the other is of no more use");
+        let first = take_reusable(&mut idle).expect("the one on which nothing came");
+        assert!(idle.is_empty(), "the other is unusable");
         drop(first);
     };
     LocalSet::new().run_until(test).await;
--- /dev/null
+++ b/src/transport/exchange/runner.rs
@@ -0,0 +1,154 @@
+//! Runs an exchange on an open connection.
+
+use super::{Exchange, ExchangeEnd, ExchangeEvent, ExchangeFailure, StreamedBody};
+use crate::transport::node_connection::{ExchangeError, NodeConnection};
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Incoming};
+use hyper::http::response;
+use hyper::{Request, Response};
+use std::io;
+use std::pin::pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// How many chunks of a streamed body may wait for the client.
+const STREAM_BUFFER_CHUNKS: usize = 4;
+
+/// Sends the request and receives its response.
+pub(in crate::transport) async fn run_exchange(
+    exchange: &mut Exchange,
+    connection: &mut NodeConnection,
+    request: Request<Full<Bytes>>,
+) -> ExchangeEnd {
+    match receive_response(exchange, connection, request).await {
+        Ok(event) => ExchangeEnd { event, connection_reusable: true },
+        Err(failure) => {
+            let failure = match failure {
+                // Given up before its last byte was written: it never ran.
+                ExchangeFailure::TimedOut if !connection.is_request_written() => {
+                    ExchangeFailure::ConnectFailed
+                }
+                ExchangeFailure::Cancelled if !connection.is_request_written() => ExchangeFailure::NotStarted,
+                failure => failure,
+            };
+            ExchangeEnd { event: failure.into(), connection_reusable: false }
+        }
+    }
+}
+
+/// Brings the final event once the response has been received completely.
+async fn receive_response(
+    exchange: &mut Exchange,
+    connection: &mut NodeConnection,
+    request: Request<Full<Bytes>>,
+) -> Result<ExchangeEvent, ExchangeFailure> {
+    let (head, body) = receive_head(exchange, connection, request).await?.into_parts();
+    let body_len = body.size_hint().lower();
+    if exchange.streaming.applies(body_len, head.status, &head.headers) {
+        return stream_body(exchange, head, body).await;
+    }
+    // A body that is declared to be too long is not read to find out.
+    if body_len > exchange.max_body_len as u64 {
+        return Err(ExchangeFailure::MalformedResponse);
+    }
+    let body = read_body(exchange, body).await?;
+    Ok(ExchangeEvent::Completed(Response::from_parts(head, body)))
+}
+
+async fn receive_head(
+    exchange: &mut Exchange,
+    connection: &mut NodeConnection,
+    mut request: Request<Full<Bytes>>,
+) -> Result<Response<Incoming>, ExchangeFailure> {
+    let interim_received = Arc::new(AtomicBool::new(false));
+    let on_interim = interim_received.clone();
+    hyper::ext::on_informational(&mut request, move |_| on_interim.store(true, Ordering::Relaxed));
+    let read_activity = connection.reset_read_activity();
+    let mut response = pin!(connection.exchange(request));
+    // A head that has begun and does not go on would occupy the request until its deadline.
+    let mut stall_deadline: Option<Instant> = None;
+    loop {
+        tokio::select! {
+            biased;
+            _ = &mut exchange.cancelled => return Err(ExchangeFailure::Cancelled),
+            response = &mut response => return Ok(response?),
+            () = read_activity.received(), if stall_deadline.is_none() => {
+                stall_deadline = Some(Instant::now() + exchange.stall_timeout);
+            }
+            () = tokio::time::sleep_until(exchange.deadline) => return Err(ExchangeFailure::TimedOut),
+            () = tokio::time::sleep_until(stall_deadline.unwrap_or(exchange.deadline)),
+                if stall_deadline.is_some() =>
+            {
+                // 1xx responses announce that the final one is to come, not when.
+                if !interim_received.swap(false, Ordering::Relaxed) {
+                    return Err(ExchangeFailure::MalformedResponse);
+                }
+                read_activity.reset();
+                stall_deadline = None;
+            }
+        }
+    }
+}
+
+async fn read_body(exchange: &mut Exchange, mut body: Incoming) -> Result<Bytes, ExchangeFailure> {
+    let mut bytes = BytesMut::new();
+    loop {
+        let stall_deadline = Instant::now() + exchange.stall_timeout;
+        let frame = tokio::select! {
+            frame = body.frame() => frame,
+            () = tokio::time::sleep_until(exchange.deadline) => return Err(ExchangeFailure::TimedOut),
+            () = tokio::time::sleep_until(stall_deadline) => return Err(ExchangeFailure::MalformedResponse),
+            _ = &mut exchange.cancelled => return Err(ExchangeFailure::Cancelled),
+        };
+        match frame {
+            None => return Ok(bytes.freeze()),
+            Some(Ok(frame)) => bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data)),
+            Some(Err(error)) => return Err(ExchangeError::from_receive_error(&error).into()),
+        }
+        if bytes.len() > exchange.max_body_len {
+            return Err(ExchangeFailure::MalformedResponse);
+        }
+    }
+}
+
+/// Forwards the body as it comes, from this one attempt. If it breaks off, so does the response to the
+/// client, short of its Content-Length; nothing else may ever continue it.
+async fn stream_body(
+    exchange: &mut Exchange,
+    head: response::Parts,
+    mut body: Incoming,
+) -> Result<ExchangeEvent, ExchangeFailure> {
+    let (chunks, receiver) = mpsc::channel(STREAM_BUFFER_CHUNKS);
+    let response = Response::from_parts(head, StreamedBody(receiver));
+    (exchange.on_event)(ExchangeEvent::StreamStarted(response));
+    loop {
+        let frame = tokio::select! {
+            frame = body.frame() => frame,
+            () = tokio::time::sleep(exchange.stall_timeout) => {
+                abort_stream(&chunks).await;
+                return Err(ExchangeFailure::TimedOut);
+            }
+            () = chunks.closed() => return Err(ExchangeFailure::Cancelled),
+        };
+        let data = match frame {
+            None => return Ok(ExchangeEvent::StreamCompleted),
+            Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
+            Some(Err(_)) => {
+                abort_stream(&chunks).await;
+                return Err(ExchangeFailure::ConnectionReset);
+            }
+        };
+        if chunks.send(Ok(data)).await.is_err() {
+            return Err(ExchangeFailure::Cancelled);
+        }
+    }
+}
+
+/// Ends a streamed body with an error.
+async fn abort_stream(chunks: &mpsc::Sender<io::Result<Bytes>>) {
+    // If the client has disconnected as well, there is nothing to abort.
+    let _ = chunks.send(Err(io::ErrorKind::ConnectionReset.into())).await;
+}
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -11,6 +11,7 @@
 //!
 //! Towards storage nodes:
 //! - `connection_pool`: the connections to one node, owned by an actor;
+//! - `exchange`: one request and its response, read completely or streamed;
 //! - `node_connection`: one connection, and how much of a request has been written to it.
 //!
 //! Both stand on `socket`.
@@ -20,6 +21,7 @@
 mod client_stream;
 mod connection_pool;
 mod connection_table;
+mod exchange;
 mod lifecycle;
 mod node_connection;
 mod request_framing;
@@ -28,7 +30,8 @@
 
 pub use body::{GuardedBody, ResponseBody, full_body};
 pub use client_connection::{Admission, RequestContext};
-pub use connection_pool::{ConnectionPool, Exchange, ExchangeEvent, PoolLimits, StreamedBody, StreamingRule};
+pub use connection_pool::{ConnectionPool, PoolLimits};
+pub use exchange::{Exchange, ExchangeEvent, StreamedBody, StreamingRule};
 pub use lifecycle::LifecyclePhase;
 pub use node_connection::{ExchangeError, NodeConnection};
 pub use server::{ConnectionLimits, serve};
