--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -17,11 +17,11 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::task::Poll;
+use std::task::{Context, Poll};
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::time::{Instant, MissedTickBehavior};
+use tokio::time::{Instant, Interval, MissedTickBehavior};
 
 /// How long bytes that a client still sends are read and discarded before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -142,10 +142,9 @@
                 // A connection that breaks cancels its request by dropping the response future.
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ConnectionEnd::Finished,
                 // So does one whose client disconnected unnoticed by hyper.
-                () = poll_fn(|cx| match self.slot.is_serving_request() {
-                    true => self.read_ahead.poll_closed(cx, &mut check_interval),
-                    false => Poll::Pending,
-                }) => return ConnectionEnd::Abandoned,
+                () = poll_fn(|cx| self.poll_client_closed(cx, &mut check_interval)) => {
+                    return ConnectionEnd::Abandoned;
+                }
                 _ = phase.wait_for(|phase| *phase == LifecyclePhase::ClosingIdle), if !closing => {
                     closing = true;
                     // hyper takes a connection for idle when half of a second request has come. That request
@@ -159,6 +158,15 @@
         }
     }
 
+    /// Ready once the client has closed the connection during a request.
+    fn poll_client_closed(&self, cx: &mut Context<'_>, check_interval: &mut Interval) -> Poll<()> {
+        if self.slot.is_serving_request() {
+            self.read_ahead.poll_closed(cx, check_interval)
+        } else {
+            Poll::Pending
+        }
+    }
+
     /// Closes the connection once the client has read its response, or has had the time to.
     async fn linger(&self) {
         self.slot.start_closing();
