--- a/src/gateway/config/mod.rs
+++ b/src/gateway/config/mod.rs
@@ -1,28 +1,39 @@
-//! Configuration files, and what is wrong with them.
+//! Configuration files, and what can be wrong with them.
 
 pub mod object;
 pub mod platform;
 
-/// Why the program cannot start.
+use object::ObjectConfigError;
+use platform::PlatformConfigError;
+
+/// Why a configuration was not taken.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Nothing says where the configuration is.
+    /// Nothing says where the platform's configuration is.
     #[error("no configuration: GW_CONFIG is not set")]
-    None,
-    /// It cannot be read.
-    #[error("configuration {path}: {cause}")]
+    PathNotSet,
+    /// The file cannot be read.
+    #[error("configuration {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The file's path.
+        path: String,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The platform's configuration is invalid.
+    #[error("configuration {path}: {source}")]
+    InvalidPlatformConfig {
+        /// The file's path.
         path: String,
-        /// The error.
-        cause: std::io::Error,
+        /// What is wrong.
+        source: PlatformConfigError,
     },
-    /// It is not what it should be.
-    #[error("configuration {path}: {cause}")]
-    Malformed {
-        /// The file.
+    /// The operator's configuration is invalid.
+    #[error("configuration {path}: {source}")]
+    InvalidObjectConfig {
+        /// The file's path.
         path: String,
         /// What is wrong.
-        cause: String,
+        source: ObjectConfigError,
     },
 }
--- /dev/null
+++ b/src/gateway/config/object/mod.rs
@@ -0,0 +1,205 @@
+//! The operator's file, which sets up the object API and the administration API.
+
+mod error;
+mod file;
+mod settings;
+
+pub use error::ObjectConfigError;
+
+use super::ConfigError;
+use crate::gateway::inventory;
+use crate::gateway::object_frontend::ObjectLimits;
+use crate::gateway::tenants::{Tenants, TokenHash, decode_hash};
+use crate::protocol::inventory::InventoryNode;
+use crate::protocol::object::UploadKey;
+use crate::scheduler::SchedulerSettings;
+use file::{
+    AdminSection, ClassSection, ClassesSection, GatewaySection, ObjectConfigFile, ObjectSection, PlanSection,
+};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The longest deadline of a class, in milliseconds: one hour. The limit is the gateway's own.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
+/// What a body takes beside its bytes, at most: the front end counts memory in permits of one KiB and takes one
+/// more than the full KiB of a body.
+const BODY_MEMORY_OVERHEAD: u64 = 1024;
+
+/// The configuration of a gateway that serves the object API and the administration API.
+pub struct ObjectGatewayConfig {
+    /// Where clients of the object API connect.
+    pub listen: SocketAddr,
+    /// Where the administration API listens.
+    pub admin_listen: SocketAddr,
+    /// The hash of the administration's token.
+    pub admin_token: TokenHash,
+    /// File descriptors that the process may hold.
+    pub descriptors: usize,
+    /// The memory for all bodies, in bytes.
+    pub body_memory: u64,
+    /// How long storage nodes keep an idle connection.
+    pub node_idle_timeout: Duration,
+    /// The object front end's limits.
+    pub limits: ObjectLimits,
+    /// The key that signs upload ids.
+    pub upload_key: UploadKey,
+    /// The storage nodes.
+    pub inventory: InventorySource,
+    /// The tenants.
+    pub tenants: Tenants,
+    /// The scheduler's settings.
+    pub settings: SchedulerSettings,
+}
+
+/// An inventory file and what it contained at the start.
+pub struct InventorySource {
+    /// The file's path.
+    pub file: PathBuf,
+    /// The storage nodes that it named.
+    pub nodes: Vec<InventoryNode>,
+}
+
+impl ObjectGatewayConfig {
+    /// Reads the file, and the files that it names.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be read, or it or a file that it names is invalid.
+    pub fn load(path: &Path) -> Result<ObjectGatewayConfig, ConfigError> {
+        let path_text = path.display().to_string();
+        let text = match std::fs::read_to_string(path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Unreadable { path: path_text, source }),
+        };
+        let folder = path.parent().unwrap_or(Path::new("."));
+        ObjectGatewayConfig::decode(&text, folder)
+            .map_err(|source| ConfigError::InvalidObjectConfig { path: path_text, source })
+    }
+
+    fn decode(text: &str, folder: &Path) -> Result<ObjectGatewayConfig, ObjectConfigError> {
+        let file = parse(text)?;
+        let admin_token = validate_admin(&file.admin)?;
+        validate_object(&file.object)?;
+        validate_classes(&file.classes)?;
+        validate_plans(&file.plans)?;
+        validate_gateway(&file.gateway, &file.plans)?;
+        let upload_key = read_upload_key(&folder.join(&file.object.upload_secret_file))?;
+        let inventory = read_inventory(folder.join(&file.inventory.file))?;
+        let plan_names = file.plans.iter().map(|plan| plan.name.clone()).collect();
+        Ok(ObjectGatewayConfig {
+            listen: file.gateway.listen,
+            admin_listen: file.admin.listen,
+            admin_token,
+            descriptors: file.gateway.descriptors,
+            body_memory: file.object.body_memory,
+            node_idle_timeout: Duration::from_millis(file.object.node_idle_timeout_ms),
+            limits: object_limits(&file),
+            upload_key,
+            inventory,
+            settings: settings::scheduler_settings(&file),
+            tenants: Tenants::new(plan_names, file.tenants)
+                .map_err(|error| ObjectConfigError::Tenant(error.into()))?,
+        })
+    }
+}
+
+fn parse(text: &str) -> Result<ObjectConfigFile, ObjectConfigError> {
+    toml::from_str(text).map_err(|error| {
+        // One line: the place, without the excerpt that the parser draws.
+        let start = error.span().map_or(0, |span| span.start);
+        ObjectConfigError::Toml {
+            line: text[..start].matches('\n').count() + 1,
+            message: error.message().replace('\n', " "),
+        }
+    })
+}
+
+/// Returns the hash of the administration's token.
+fn validate_admin(admin: &AdminSection) -> Result<TokenHash, ObjectConfigError> {
+    if !admin.listen.ip().is_loopback() {
+        return Err(ObjectConfigError::AdminNotLoopback);
+    }
+    decode_hash(&admin.token_sha256).ok_or(ObjectConfigError::InvalidAdminTokenHash)
+}
+
+fn validate_object(object: &ObjectSection) -> Result<(), ObjectConfigError> {
+    let must_be_positive = [
+        object.max_body_len,
+        object.response_buffer_len,
+        object.unit_len,
+        object.stall_timeout_ms,
+        object.node_idle_timeout_ms,
+    ];
+    if must_be_positive.contains(&0) {
+        return Err(ObjectConfigError::ZeroObjectLimit);
+    }
+    let longest_body = object.max_body_len.max(object.response_buffer_len);
+    if object.body_memory < longest_body + BODY_MEMORY_OVERHEAD {
+        return Err(ObjectConfigError::BodyMemoryTooSmall);
+    }
+    Ok(())
+}
+
+fn validate_classes(classes: &ClassesSection) -> Result<(), ObjectConfigError> {
+    let classes = [&classes.read, &classes.write];
+    if !classes.into_iter().all(has_valid_times) {
+        return Err(ObjectConfigError::InvalidClassTimes);
+    }
+    if !classes.into_iter().all(|class| is_finite_and_not_negative(class.priority_weight)) {
+        return Err(ObjectConfigError::InvalidClassWeight);
+    }
+    Ok(())
+}
+
+fn has_valid_times(class: &ClassSection) -> bool {
+    let objective_ms = class.latency_objective_ms;
+    objective_ms > 0 && objective_ms < class.deadline_ms && class.deadline_ms <= MAX_DEADLINE_MS
+}
+
+fn validate_plans(plans: &[PlanSection]) -> Result<(), ObjectConfigError> {
+    let is_valid = |plan: &PlanSection| {
+        [plan.provisioned_rate, plan.reserved_rate, plan.weight, plan.priority_factor]
+            .into_iter()
+            .all(is_finite_and_not_negative)
+    };
+    if plans.iter().all(is_valid) { Ok(()) } else { Err(ObjectConfigError::InvalidPlan) }
+}
+
+fn is_finite_and_not_negative(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
+
+fn validate_gateway(gateway: &GatewaySection, plans: &[PlanSection]) -> Result<(), ObjectConfigError> {
+    // The number is below the count only if there is a gateway at all.
+    if plans.is_empty() || gateway.index >= gateway.count {
+        return Err(ObjectConfigError::NoPlanOrInvalidGatewayNumber);
+    }
+    Ok(())
+}
+
+fn read_upload_key(path: &Path) -> Result<UploadKey, ObjectConfigError> {
+    let secret = std::fs::read(path).map_err(|source| ObjectConfigError::UploadSecretUnreadable {
+        path: path.display().to_string(),
+        source,
+    })?;
+    UploadKey::new(secret.trim_ascii()).ok_or(ObjectConfigError::UploadSecretTooShort)
+}
+
+fn read_inventory(file: PathBuf) -> Result<InventorySource, ObjectConfigError> {
+    let nodes = inventory::read(&file)?;
+    Ok(InventorySource { file, nodes })
+}
+
+fn object_limits(file: &ObjectConfigFile) -> ObjectLimits {
+    let deadline_us = |class: &ClassSection| class.deadline_ms * 1_000;
+    ObjectLimits {
+        body_most: file.object.max_body_len,
+        buffer: file.object.response_buffer_len,
+        stall: Duration::from_millis(file.object.stall_timeout_ms),
+        unit: file.object.unit_len,
+        most_units: settings::MAX_REQUEST_UNITS,
+        gateways: file.gateway.count,
+        deadlines: [deadline_us(&file.classes.read), deadline_us(&file.classes.write)],
+    }
+}
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -10,89 +10,129 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The descriptors that a gateway may hold if the platform does not state them: the limit of scored days
+/// (Deployment page, "Limits").
+const DEFAULT_DESCRIPTORS: usize = 1024;
+/// How long storage nodes keep an idle connection if the settings do not state it: `connIdleUs` of the
+/// settings in the Wire page's example.
+const DEFAULT_NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
 #[derive(Deserialize)]
-struct WireConfig<'a> {
+struct PlatformConfigFile<'a> {
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
     #[serde(default)]
-    limits: WireLimits,
-    #[serde(borrow)]
-    known: Option<&'a RawValue>,
+    limits: LimitsSection,
+    /// Decoded on its own: it may be malformed without harm.
+    #[serde(borrow, rename = "known")]
+    cached_list: Option<&'a RawValue>,
     settings: WireOptions,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct WireLimits {
-    sockets: usize,
+struct LimitsSection {
+    #[serde(rename = "sockets")]
+    descriptors: usize,
 }
 
-impl Default for WireLimits {
+impl Default for LimitsSection {
     fn default() -> Self {
-        WireLimits { sockets: 1024 }
+        LimitsSection { descriptors: DEFAULT_DESCRIPTORS }
     }
 }
 
-/// What the platform tells a gateway.
+/// What is wrong with a platform's configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum PlatformConfigError {
+    /// It is not JSON of the expected form.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// Without a request class or a service plan nothing can be served.
+    #[error("the settings name no class or no plan")]
+    NoClassOrPlan,
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("the seed is not a hex number")]
+    InvalidSeed,
+}
+
+/// The configuration of a gateway that speaks the platform's protocol.
 pub struct PlatformConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery listens.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// File descriptors that the program may hold.
-    pub sockets: usize,
-    /// The last list of nodes.
-    pub known: Option<EndpointList>,
-    /// The names of classes and plans.
+    /// The file descriptors that the process may hold.
+    pub descriptors: usize,
+    /// The endpoint list as this gateway last had it; may be old.
+    pub cached_list: Option<EndpointList>,
+    /// How requests name classes and plans.
     pub names: NameTable,
-    /// The names of rooms.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// How long storage nodes keep an idle connection; zero: not told.
-    pub idle: Duration,
-    /// For the scheduler.
+    /// How long storage nodes keep an idle connection.
+    pub node_idle_timeout: Duration,
+    /// The scheduler's settings.
     pub settings: SchedulerSettings,
 }
 
 impl PlatformConfig {
     /// Reads the file that `GW_CONFIG` names.
+    ///
+    /// # Errors
+    ///
+    /// Where the variable is not set, the file cannot be read, or its contents are invalid.
     pub fn load() -> Result<PlatformConfig, ConfigError> {
-        let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::None)?;
-        match std::fs::read(&path) {
-            Ok(text) => PlatformConfig::decode(&text).map_err(|cause| ConfigError::Malformed { path, cause }),
-            Err(cause) => Err(ConfigError::Unreadable { path, cause }),
-        }
+        let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
+        let json = match std::fs::read(&path) {
+            Ok(json) => json,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
+        PlatformConfig::decode(&json).map_err(|source| ConfigError::InvalidPlatformConfig { path, source })
     }
 
-    fn decode(text: &[u8]) -> Result<PlatformConfig, String> {
-        let wire: WireConfig = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        // A list that cannot be read is as good as none: discovery will tell.
-        let known = wire.known.and_then(|k| endpoint_list::decode(k.get().as_bytes()).ok());
-        let set = settings(&wire.settings);
-        if set.classes.is_empty() || set.plans.is_empty() {
-            return Err("the settings name no class or no plan".into());
+    fn decode(json: &[u8]) -> Result<PlatformConfig, PlatformConfigError> {
+        let file: PlatformConfigFile = serde_json::from_slice(json)?;
+        let settings = settings(&file.settings);
+        if settings.classes.is_empty() || settings.plans.is_empty() {
+            return Err(PlatformConfigError::NoClassOrPlan);
         }
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| PlatformConfigError::InvalidSeed)?;
         Ok(PlatformConfig {
-            listen: wire.listen,
-            discovery: wire.discovery,
-            seed: u64::from_str_radix(&wire.seed, 16).map_err(|_| "the seed is not a hex number")?,
-            sockets: wire.limits.sockets,
-            known,
-            names: NameTable {
-                classes: wire.settings.class_names(),
-                plans: wire.settings.plan_names(),
-                writes: wire.settings.writes(),
-                keyed: set
-                    .classes
-                    .iter()
-                    .map(|c| matches!(c.idempotency, Idempotency::WithKey { .. }))
-                    .collect(),
-            },
-            zones: wire.settings.zones(),
-            idle: Duration::from_micros(wire.settings.idle()),
-            settings: set,
+            listen: file.listen,
+            discovery: file.discovery,
+            seed,
+            descriptors: file.limits.descriptors,
+            cached_list: file.cached_list.and_then(decode_cached_list),
+            names: name_table(&file.settings, &settings),
+            zones: file.settings.zones(),
+            node_idle_timeout: node_idle_timeout(&file.settings),
+            settings,
         })
     }
 }
+
+/// A list that cannot be read is as good as none: discovery will send one.
+fn decode_cached_list(json: &RawValue) -> Option<EndpointList> {
+    endpoint_list::decode(json.get().as_bytes()).ok()
+}
+
+fn name_table(options: &WireOptions, settings: &SchedulerSettings) -> NameTable {
+    let has_key = |idempotency| matches!(idempotency, Idempotency::WithKey { .. });
+    NameTable {
+        classes: options.class_names(),
+        plans: options.plan_names(),
+        writes: options.writes(),
+        keyed: settings.classes.iter().map(|class| has_key(class.idempotency)).collect(),
+    }
+}
+
+fn node_idle_timeout(options: &WireOptions) -> Duration {
+    match options.idle() {
+        0 => DEFAULT_NODE_IDLE_TIMEOUT,
+        idle_us => Duration::from_micros(idle_us),
+    }
+}
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -235,8 +235,7 @@
     let serve_on = killed.saturating_sub(KILL_MARGIN + ANSWER_LAST + CLOSE_IDLE).max(ACCEPT_ON);
     stop.serve_on.set(serve_on);
     let connect = Duration::from_micros(config.settings.connect_timeout_us.max(1_000));
-    let idle = if config.idle.is_zero() { Duration::from_secs(15) } else { config.idle };
-    let (limits, pools) = share(config.sockets, connect, idle);
+    let (limits, pools) = share(config.descriptors, connect, config.node_idle_timeout);
     let nodes = NodeRegistry::new(pools, config.zones);
     let overload_retry_after_us = config.settings.max_retry_after_us;
     let wait = watch_wait(config.settings.gateway_index, config.settings.gateway_count);
@@ -246,7 +245,7 @@
     let list = EndpointWatcher {
         discovery,
         wait,
-        known: config.known,
+        known: config.cached_list,
         nodes: nodes.clone(),
         router: router.clone(),
         metrics: metrics.clone(),
@@ -279,17 +278,18 @@
     let Base { metrics, phase, clock, .. } = base;
     let hangup = hangups()?;
     let connect = Duration::from_micros(operator.settings.connect_timeout_us);
-    let sockets = operator.sockets.saturating_sub(ADMIN.served + ADMIN.rejected);
-    let (limits, pools) = share(sockets, connect, operator.idle);
-    let rooms: std::collections::BTreeSet<String> = operator.hosts.iter().map(|h| h.room.clone()).collect();
+    let sockets = operator.descriptors.saturating_sub(ADMIN.served + ADMIN.rejected);
+    let (limits, pools) = share(sockets, connect, operator.node_idle_timeout);
+    let rooms: std::collections::BTreeSet<String> =
+        operator.inventory.nodes.iter().map(|h| h.room.clone()).collect();
     let nodes = NodeRegistry::new(pools, rooms.into_iter().collect());
     let racks = RackRegistry::default();
     let (core, router) =
         RequestRouter::new(operator.settings, fastrand::u64(..), clock, metrics.requests.clone());
     let (ask, asked) = mpsc::unbounded_channel();
     let inventory = InventoryActor {
-        path: operator.inventory,
-        hosts: operator.hosts,
+        path: operator.inventory.file,
+        hosts: operator.inventory.nodes,
         racks: racks.clone(),
         nodes: nodes.clone(),
         router: router.clone(),
@@ -305,9 +305,9 @@
         clock,
         tenants: operator.tenants.clone(),
         racks,
-        key: operator.key,
+        key: operator.upload_key,
         limits: operator.limits,
-        memory: Arc::new(Semaphore::new((operator.memory / 1024) as usize)),
+        memory: Arc::new(Semaphore::new((operator.body_memory / 1024) as usize)),
         metrics: metrics.clone(),
         phase: phase.clone(),
         next: Cell::new(fastrand::u64(..)),
@@ -319,7 +319,7 @@
         metrics,
         phase: phase.clone(),
     });
-    let listeners = (listen(operator.listen).await?, listen(operator.admin).await?);
+    let listeners = (listen(operator.listen).await?, listen(operator.admin_listen).await?);
     let objects = transport::serve(listeners.0, limits, phase.clone(), move |request, context| {
         let front = front.clone();
         async move { front.answer(request, context).await }
