--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -1,3 +1,6 @@
+//! Polls discovery for the endpoint list.
+
+use super::log;
 use super::metrics::GatewayMetrics;
 use super::node_registry::NodeRegistry;
 use crate::protocol::endpoint_list::{self, EndpointList, ListKind};
@@ -11,149 +14,208 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a watch waits for news, and by how much less that of the last of many hosts.
-const WATCH: Duration = Duration::from_secs(20);
-const WATCH_SPREAD: Duration = Duration::from_secs(8);
-/// How much longer its answer may take. What a silent watch misses counts as told 2 s after its wait.
-const ANSWER: Duration = Duration::from_millis(1_500);
-const LIST_MOST: usize = 4 * 1024 * 1024;
+/// How long a watch waits for changes, as in the Protocol page's example.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
+/// By how much less the watch of the last of many gateways waits.
+const WATCH_WAIT_SPREAD: Duration = Duration::from_secs(8);
+/// How long a call that does not wait may take, and how much longer than its wait a watch may. What a silent
+/// watch misses counts as told 2 s after its wait (Protocol page, "Figures"). A failed call is repeated in the
+/// gateway's turn, 4.5 s later at most, which with this makes the 6 s after which all changes count as told.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The longest endpoint list that is read, in bytes. The limit is the gateway's own: 3,200 storage nodes, the
+/// most of "A Fixed Test for All Future Versions of the Gateway", take 419,200 bytes at the length of the
+/// Protocol page's example.
+const MAX_LIST_LEN: usize = 4 * 1024 * 1024;
+
+/// How long the watch of one of many gateways waits. Watches begin together with each change and may fall
+/// silent together; different waits have them given up, and opened anew, one by one.
+pub fn watch_wait(gateway_index: usize, gateway_count: usize) -> Duration {
+    let position = gateway_index.min(gateway_count) as f64 / gateway_count.max(1) as f64;
+    MAX_WATCH_WAIT - WATCH_WAIT_SPREAD.mul_f64(position)
+}
 
-/// How long the watch of this host among so many waits. Watches begin together with each change and may fall
-/// silent together; they are given up, and opened anew, one by one.
-pub(super) fn watch_wait(host: usize, hosts: usize) -> Duration {
-    WATCH - WATCH_SPREAD.mul_f64(host.min(hosts) as f64 / hosts.max(1) as f64)
+/// Why a poll brought no endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum PollError {
+    /// A watch got no answer in all the time that it may take.
+    #[error("the watch fell silent")]
+    WatchSilent,
+    /// Discovery refused the call, broke it off, or answered with something else than a list.
+    #[error("the call failed")]
+    CallFailed,
 }
 
-/// How a call came to nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Lost {
-    /// No answer in all the time that a watch may take.
-    Silent,
-    /// Refused, broken, or answered with something else than a list.
-    Failed,
+/// The state of a watch on discovery, from its first poll until one fails.
+#[derive(Default)]
+struct WatchSession {
+    /// The connection of the last poll, if the answer came complete.
+    connection: Option<NodeConnection>,
+    /// The last poll fell silent; another silent one ends the session.
+    fell_silent: bool,
 }
 
-/// What the list's actor needs.
+/// The actor that polls discovery and passes endpoint lists on to the router.
 pub struct EndpointWatcher<P, R> {
     /// Where discovery listens; it may move.
-    pub discovery: watch::Receiver<SocketAddr>,
-    /// How long a watch waits for news.
-    pub wait: Duration,
-    /// The list held so far.
-    pub known: Option<EndpointList>,
-    /// Who is told.
+    pub discovery_address: watch::Receiver<SocketAddr>,
+    /// How long a watch waits for changes.
+    pub watch_wait: Duration,
+    /// The endpoint list that was known before the start.
+    pub cached_list: Option<EndpointList>,
+    /// The connection pools of the nodes that the lists name.
     pub nodes: NodeRegistry,
-    /// The core.
+    /// The router.
     pub router: RouterHandle<P, R>,
-    /// What it counts.
+    /// The counters.
     pub metrics: Rc<GatewayMetrics>,
 }
 
 impl<P, R> EndpointWatcher<P, R> {
-    /// Tells the list that is known from before, then watches whenever the core asks for it, until a call
-    /// fails: when to ask anew is the scheduler's to say. When discovery moves, the watch moves at once: the
-    /// old address may still hold the call, but it tells nothing more, and what the new one has to tell
-    /// counts as told soon after. A watch that has fallen silent is opened anew at once as well, as what it
-    /// missed is about to count as told; the scheduler hears of it, as that may have been told already.
-    pub async fn run(self, mut asked: mpsc::UnboundedReceiver<()>) {
-        let mut version = self.known.as_ref().map(|k| k.version);
-        let known = self.known.as_ref().map_or(&[][..], |k| &k.endpoints);
-        self.router.endpoints_updated(EndpointUpdate::Cached(self.nodes.apply(ListKind::Snapshot, known)));
-        let mut moved = self.discovery.clone();
+    /// Publishes the cached list, then watches discovery whenever the router requests a poll, until a call
+    /// fails: when to call again is for the scheduler to decide.
+    pub async fn run(self, mut poll_requests: mpsc::UnboundedReceiver<()>) {
+        let mut version = self.publish_cached_list();
+        let mut address_changes = self.discovery_address.clone();
         loop {
             tokio::select! {
-                ask = asked.recv() => if ask.is_none() { return },
-                Ok(()) = moved.changed() => {}
+                request = poll_requests.recv() => if request.is_none() { return },
+                Ok(()) = address_changes.changed() => {}
             }
-            let (mut conn, mut silent) = (None, false);
-            loop {
-                let list = tokio::select! {
-                    list = self.call(&mut conn, version) => list,
-                    Ok(()) = moved.changed() => {
-                        conn = None;
-                        continue;
-                    }
-                };
-                match list {
-                    Ok(list) => {
-                        silent = false;
-                        version = Some(list.version);
-                        let endpoints = self.nodes.apply(list.kind, &list.endpoints);
-                        self.router.endpoints_updated(match list.kind {
-                            ListKind::Snapshot => EndpointUpdate::Snapshot(endpoints),
-                            ListKind::Delta => EndpointUpdate::Delta(endpoints),
-                        });
-                    }
-                    Err(Lost::Silent) if !silent => {
-                        silent = true;
-                        self.router.endpoints_updated(EndpointUpdate::PollFailed);
-                    }
-                    Err(_) => break,
+            self.watch_until_failure(&mut version, &mut address_changes).await;
+            // A poll requested during the watch would go out at once, against the rule on the pause between
+            // polls.
+            while poll_requests.try_recv().is_ok() {}
+            self.router.endpoints_updated(EndpointUpdate::PollFailed);
+        }
+    }
+
+    /// Publishes the list that was known before the start; returns its version.
+    fn publish_cached_list(&self) -> Option<u64> {
+        let endpoints = self.cached_list.as_ref().map_or(&[][..], |list| &list.endpoints);
+        let endpoints = self.nodes.apply(ListKind::Snapshot, endpoints);
+        self.router.endpoints_updated(EndpointUpdate::Cached(endpoints));
+        self.cached_list.as_ref().map(|list| list.version)
+    }
+
+    /// Polls again after each answer, until a call fails.
+    ///
+    /// When discovery moves, the watch moves at once: the old address may still hold the call, but it tells
+    /// nothing more, and what the new one has to tell counts as told soon after. A watch that has fallen silent
+    /// is opened anew at once as well, as what it missed is about to count as told; the scheduler is notified,
+    /// as that may have been told already.
+    async fn watch_until_failure(
+        &self,
+        version: &mut Option<u64>,
+        address_changes: &mut watch::Receiver<SocketAddr>,
+    ) {
+        let mut session = WatchSession::default();
+        loop {
+            let polled = tokio::select! {
+                polled = self.poll(&mut session.connection, *version) => polled,
+                Ok(()) = address_changes.changed() => {
+                    session.connection = None;
+                    continue;
+                }
+            };
+            match polled {
+                Ok(list) => {
+                    session.fell_silent = false;
+                    *version = Some(list.version);
+                    self.publish(&list);
+                }
+                Err(PollError::WatchSilent) if !session.fell_silent => {
+                    session.fell_silent = true;
+                    self.router.endpoints_updated(EndpointUpdate::PollFailed);
                 }
+                Err(_) => return,
             }
-            // Asked for while the watch was on: it would go out at once, against the rule on asking.
-            while asked.try_recv().is_ok() {}
-            self.router.endpoints_updated(EndpointUpdate::PollFailed);
         }
     }
 
-    async fn call(
+    fn publish(&self, list: &EndpointList) {
+        let endpoints = self.nodes.apply(list.kind, &list.endpoints);
+        self.router.endpoints_updated(match list.kind {
+            ListKind::Snapshot => EndpointUpdate::Snapshot(endpoints),
+            ListKind::Delta => EndpointUpdate::Delta(endpoints),
+        });
+    }
+
+    /// Makes one call: a watch for what is newer than this version, or a request for the complete list if no
+    /// version is known.
+    async fn poll(
         &self,
-        conn: &mut Option<NodeConnection>,
+        connection: &mut Option<NodeConnection>,
         version: Option<u64>,
-    ) -> Result<EndpointList, Lost> {
+    ) -> Result<EndpointList, PollError> {
         self.metrics.list_calls.increment();
-        let wait = if version.is_some() { self.wait + ANSWER } else { ANSWER };
-        let body = match tokio::time::timeout(wait, self.fetch(conn, version)).await {
-            Ok(Some(body)) => body,
-            lost => {
+        let timeout = if version.is_some() { self.watch_wait + CALL_TIMEOUT } else { CALL_TIMEOUT };
+        match tokio::time::timeout(timeout, self.fetch_list(connection, version)).await {
+            Ok(Some(body)) => self.decode_list(&body),
+            Ok(None) => {
                 self.metrics.list_failures.increment();
-                return Err(if lost.is_err() && version.is_some() { Lost::Silent } else { Lost::Failed });
+                Err(PollError::CallFailed)
             }
-        };
-        match endpoint_list::decode(&body) {
+            Err(_) => {
+                self.metrics.list_failures.increment();
+                let is_watch = version.is_some();
+                Err(if is_watch { PollError::WatchSilent } else { PollError::CallFailed })
+            }
+        }
+    }
+
+    fn decode_list(&self, body: &[u8]) -> Result<EndpointList, PollError> {
+        match endpoint_list::decode(body) {
             Ok(list) => {
                 self.metrics.list_entries.add(list.endpoints.len() as u64);
                 Ok(list)
             }
-            Err(e) => {
+            Err(error) => {
                 self.metrics.list_malformed.increment();
-                eprintln!("storage-gateway: a list that cannot be read, the one before is kept: {e}");
-                Err(Lost::Failed)
+                log::write(format_args!(
+                    "malformed endpoint list, the previous one stays in effect: {error}"
+                ));
+                Err(PollError::CallFailed)
             }
         }
     }
 
-    async fn fetch(&self, held: &mut Option<NodeConnection>, version: Option<u64>) -> Option<Bytes> {
-        let address = *self.discovery.borrow();
-        // A connection that was kept and breaks says nothing of discovery: it may have been closed just when
-        // the call was written on it. A new one will tell.
-        if let Some(conn) = held.take().filter(NodeConnection::is_reusable)
-            && let Ok(answer) = self.exchange(conn, held, address, version).await
+    /// The body of discovery's answer; none if the call failed or the answer is no list.
+    async fn fetch_list(
+        &self,
+        connection: &mut Option<NodeConnection>,
+        version: Option<u64>,
+    ) -> Option<Bytes> {
+        let address = *self.discovery_address.borrow();
+        // A reused connection that breaks does not mean that discovery is down: it may have been closed just
+        // when the request was written to it. A new one will show.
+        if let Some(reused) = connection.take().filter(NodeConnection::is_reusable)
+            && let Ok(body) = self.request_list(reused, connection, address, version).await
         {
-            return answer;
+            return body;
         }
-        // A machine that is cut off answers no connection either: that must not take a watch's time.
-        let conn = tokio::time::timeout(ANSWER, NodeConnection::connect(address)).await.ok()?.ok()?;
-        self.exchange(conn, held, address, version).await.ok().flatten()
+        // A machine that is cut off accepts no connection either: that must not take a watch's time.
+        let new = tokio::time::timeout(CALL_TIMEOUT, NodeConnection::connect(address)).await.ok()?.ok()?;
+        self.request_list(new, connection, address, version).await.ok().flatten()
     }
 
-    /// One call on this connection, which is kept for the next if the answer came whole. None: an answer, but
-    /// no list.
-    async fn exchange(
+    /// One exchange on `open`, which goes back to `connection` if the answer came complete. None: there was an
+    /// answer, but it is no list.
+    async fn request_list(
         &self,
-        mut conn: NodeConnection,
-        held: &mut Option<NodeConnection>,
+        mut open: NodeConnection,
+        connection: &mut Option<NodeConnection>,
         address: SocketAddr,
         version: Option<u64>,
     ) -> Result<Option<Bytes>, ExchangeError> {
-        let answer = conn.exchange(endpoint_list::watch_request(address, version, self.wait)).await?;
-        if answer.status() != hyper::StatusCode::OK {
+        let request = endpoint_list::watch_request(address, version, self.watch_wait);
+        let response = open.exchange(request).await?;
+        if response.status() != hyper::StatusCode::OK {
             return Ok(None);
         }
-        let body = Limited::new(answer.into_body(), LIST_MOST).collect().await;
-        let Ok(body) = body else { return Ok(None) };
-        *held = Some(conn);
+        let Ok(body) = Limited::new(response.into_body(), MAX_LIST_LEN).collect().await else {
+            return Ok(None);
+        };
+        *connection = Some(open);
         Ok(Some(body.to_bytes()))
     }
 }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,5 +1,6 @@
 //! The gateway's counters, which the administration API and the log give out.
 
+use super::log;
 use crate::routing::{Counter, RequestMetrics};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -51,6 +52,6 @@
     pub fn log(&self) {
         let fields: Vec<String> =
             self.by_name().iter().map(|(name, value)| format!("{name}={value}")).collect();
-        eprintln!("storage-gateway: {}", fields.join(" "));
+        log::write(fields.join(" "));
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,6 +4,7 @@
 mod config;
 mod discovery;
 mod inventory;
+mod log;
 mod metrics;
 mod node_registry;
 mod object_frontend;
@@ -42,6 +43,6 @@
         Ok(Err(e)) => (e.to_string(), ExitCode::FAILURE),
         Err(e) => (e.to_string(), ExitCode::from(2)),
     };
-    eprintln!("storage-gateway: {text}");
+    log::write(text);
     code
 }
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -3,6 +3,7 @@
 use super::config::platform::PlatformConfig;
 use super::discovery::{EndpointWatcher, watch_wait};
 use super::inventory::{self, InventoryActor, RackRegistry};
+use super::log;
 use super::metrics::GatewayMetrics;
 use super::node_registry::NodeRegistry;
 use super::shutdown::ShutdownSchedule;
@@ -160,11 +161,11 @@
                 metrics.reloads.increment();
                 let to = config.discovery;
                 discovery.send_if_modified(|at| std::mem::replace(at, to) != to);
-                eprintln!("storage-gateway: configuration read anew, discovery at {to}");
+                log::write(format_args!("configuration reloaded, discovery at {to}"));
             }
             Err(e) => {
                 metrics.reloads_failed.increment();
-                eprintln!("storage-gateway: the old settings are kept: {e}");
+                log::write(format_args!("reload failed, the previous configuration stays in effect: {e}"));
             }
         }
     }
@@ -183,11 +184,11 @@
         match read.await {
             Ok(Ok(hosts)) => {
                 metrics.reloads.increment();
-                eprintln!("storage-gateway: inventory read anew, {hosts} storage nodes");
+                log::write(format_args!("inventory reloaded, {hosts} storage nodes"));
             }
             Ok(Err(e)) => {
                 metrics.reloads_failed.increment();
-                eprintln!("storage-gateway: the old inventory is kept: {e}");
+                log::write(format_args!("reload failed, the previous inventory stays in effect: {e}"));
             }
             Err(_) => return,
         }
@@ -202,7 +203,7 @@
     let listener = TcpListener::bind(address).await.map_err(system(format!("listening on {address}")))?;
     // The address in full: port 0 leaves the choice to the system.
     let bound = listener.local_addr().map_err(system("listening"))?;
-    eprintln!("storage-gateway: serving on {bound}");
+    log::write(format_args!("serving on {bound}"));
     Ok(listener)
 }
 
@@ -243,9 +244,9 @@
     let (ask, asked) = mpsc::unbounded_channel();
     let (move_to, discovery) = watch::channel(config.discovery);
     let list = EndpointWatcher {
-        discovery,
-        wait,
-        known: config.cached_list,
+        discovery_address: discovery,
+        watch_wait: wait,
+        cached_list: config.cached_list,
         nodes: nodes.clone(),
         router: router.clone(),
         metrics: metrics.clone(),
