--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -22,8 +22,8 @@
 
 /// The longest deadline of a class, in milliseconds: one hour. The limit is the gateway's own.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// What a body takes beside its bytes, at most: the front end counts memory in permits of one KiB and takes one
-/// more than the full KiB of a body.
+/// What a body takes beside its bytes, at most: the front end counts memory in permits of one KiB and takes
+/// one more than the full KiB of a body.
 const BODY_MEMORY_OVERHEAD: u64 = 1024;
 
 /// The configuration of a gateway that serves the object API and the administration API.
--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -4,8 +4,8 @@
 use super::file::{ClassSection, ObjectConfigFile, PlanSection};
 use crate::scheduler::{DeduplicationScope, Idempotency, RequestClass, SchedulerSettings, ServicePlan};
 
-/// The largest size of a request in units: 4 MiB at the default length of a unit. Larger bodies count as this.
-/// The limit is the gateway's own.
+/// The largest size of a request in units: 4 MiB at the default length of a unit. Larger bodies count as
+/// this. The limit is the gateway's own.
 pub const MAX_REQUEST_UNITS: u64 = 64;
 /// The mean size of a request in units, close to `usualUnits` of the Wire page's example (2.16).
 const MEAN_REQUEST_UNITS: f64 = 2.0;
--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -19,8 +19,9 @@
 /// By how much less the watch of the last of many gateways waits.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_secs(8);
 /// How long a call that does not wait may take, and how much longer than its wait a watch may. What a silent
-/// watch misses counts as told 2 s after its wait (Protocol page, "Figures"). A failed call is repeated in the
-/// gateway's turn, 4.5 s later at most, which with this makes the 6 s after which all changes count as told.
+/// watch misses counts as told 2 s after its wait (Protocol page, "Figures"). A failed call is repeated in
+/// the gateway's turn, 4.5 s later at most, which with this makes the 6 s after which all changes count as
+/// told.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest endpoint list that is read, in bytes. The limit is the gateway's own: 3,200 storage nodes, the
 /// most of "A Fixed Test for All Future Versions of the Gateway", take 419,200 bytes at the length of the
@@ -100,9 +101,9 @@
     /// Polls again after each answer, until a call fails.
     ///
     /// When discovery moves, the watch moves at once: the old address may still hold the call, but it tells
-    /// nothing more, and what the new one has to tell counts as told soon after. A watch that has fallen silent
-    /// is opened anew at once as well, as what it missed is about to count as told; the scheduler is notified,
-    /// as that may have been told already.
+    /// nothing more, and what the new one has to tell counts as told soon after. A watch that has fallen
+    /// silent is opened anew at once as well, as what it missed is about to count as told; the scheduler is
+    /// notified, as that may have been told already.
     async fn watch_until_failure(
         &self,
         version: &mut Option<u64>,
@@ -198,8 +199,8 @@
         self.request_list(new, connection, address, version).await.ok().flatten()
     }
 
-    /// One exchange on `open`, which goes back to `connection` if the answer came complete. None: there was an
-    /// answer, but it is no list.
+    /// One exchange on `open`, which goes back to `connection` if the answer came complete. None: there was
+    /// an answer, but it is no list.
     async fn request_list(
         &self,
         mut open: NodeConnection,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,48 +1,53 @@
 //! The program: configuration, signals, metrics, and the wiring of the actors.
+//!
+//! There are two kinds of gateway. One speaks the platform's protocol, is configured by the platform and
+//! polls discovery for storage nodes; the other serves the object API and an administration API, is
+//! configured by an operator's file and reads storage nodes from an inventory. Both start in `startup` and
+//! share the rest.
 
 mod admin_frontend;
 mod config;
+mod descriptors;
 mod discovery;
+mod error;
 mod inventory;
-mod log;
+pub mod log;
 mod metrics;
 mod node_registry;
 mod object_frontend;
 mod platform_frontend;
+mod reload;
 mod shutdown;
+mod signals;
 mod startup;
 mod tenants;
 
+pub use config::ConfigError;
+pub use error::{GatewayError, RunError};
+
 use config::object::ObjectGatewayConfig;
 use config::platform::PlatformConfig;
 use std::path::Path;
-use std::process::ExitCode;
 
-const USAGE: &str =
-    "usage: storage-gateway                 the platform's protocol, set up by the file that GW_CONFIG names
-       storage-gateway --config FILE   the object API and the administration, set up by an operator's file";
+/// Serves the platform's protocol, as configured by the file that `GW_CONFIG` names, until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// Where the configuration is missing or invalid, or the gateway cannot run.
+pub fn run_platform_gateway() -> Result<(), GatewayError> {
+    let config = PlatformConfig::load()?;
+    startup::run_platform_gateway(config)?;
+    Ok(())
+}
 
-/// Runs the gateway until it is told to stop.
-pub fn main() -> ExitCode {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let ran = match arguments.as_slice() {
-        [] => PlatformConfig::load().map(startup::platform),
-        ["--config", file] => ObjectGatewayConfig::load(Path::new(file)).map(startup::operator),
-        ["--help" | "-h"] => {
-            println!("{USAGE}");
-            return ExitCode::SUCCESS;
-        }
-        _ => {
-            eprintln!("{USAGE}");
-            return ExitCode::from(2);
-        }
-    };
-    let (text, code) = match ran {
-        Ok(Ok(())) => return ExitCode::SUCCESS,
-        Ok(Err(e)) => (e.to_string(), ExitCode::FAILURE),
-        Err(e) => (e.to_string(), ExitCode::from(2)),
-    };
-    log::write(text);
-    code
+/// Serves the object API and the administration API, as configured by an operator's file, until SIGTERM or
+/// SIGINT.
+///
+/// # Errors
+///
+/// Where the configuration is missing or invalid, or the gateway cannot run.
+pub fn run_object_gateway(config_file: &Path) -> Result<(), GatewayError> {
+    let config = ObjectGatewayConfig::load(config_file)?;
+    startup::run_object_gateway(config)?;
+    Ok(())
 }
--- /dev/null
+++ b/src/gateway/signals.rs
@@ -0,0 +1,67 @@
+//! The signals that the gateway handles: SIGTERM and SIGINT shut it down, SIGUSR1 logs the metrics, and
+//! SIGHUP reloads the configuration (see [`reload`](super::reload)).
+
+use super::error::RunError;
+use super::metrics::GatewayMetrics;
+use super::shutdown::ShutdownSchedule;
+use crate::transport::LifecyclePhase;
+use std::rc::Rc;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+
+/// Handles SIGTERM, SIGINT and SIGUSR1.
+pub struct SignalHandlers {
+    terminate: Signal,
+    interrupt: Signal,
+    log_metrics: Signal,
+}
+
+impl SignalHandlers {
+    /// Installs the handlers. Signals that come before [`run`](Self::run) are handled there.
+    ///
+    /// # Errors
+    ///
+    /// Where the system does not install a handler.
+    pub fn install() -> Result<Self, RunError> {
+        Ok(SignalHandlers {
+            terminate: install_handler(SignalKind::terminate())?,
+            interrupt: install_handler(SignalKind::interrupt())?,
+            log_metrics: install_handler(SignalKind::user_defined1())?,
+        })
+    }
+
+    /// Shuts the gateway down on the first SIGTERM or SIGINT, and logs the metrics on each SIGUSR1 meanwhile.
+    pub async fn run(
+        mut self,
+        phase: watch::Sender<LifecyclePhase>,
+        shutdown: Rc<ShutdownSchedule>,
+        metrics: Rc<GatewayMetrics>,
+    ) {
+        let shut_down = async {
+            tokio::select! {
+                _ = self.terminate.recv() => {}
+                _ = self.interrupt.recv() => {}
+            }
+            shutdown.run(&phase).await;
+        };
+        let log_metrics = async {
+            while self.log_metrics.recv().await.is_some() {
+                metrics.log();
+            }
+        };
+        tokio::join!(shut_down, log_metrics);
+    }
+}
+
+/// The stream of SIGHUP signals.
+///
+/// # Errors
+///
+/// Where the system does not install the handler.
+pub fn hangup_signal() -> Result<Signal, RunError> {
+    install_handler(SignalKind::hangup())
+}
+
+fn install_handler(kind: SignalKind) -> Result<Signal, RunError> {
+    signal(kind).map_err(|source| RunError::SignalHandler { source })
+}
--- /dev/null
+++ b/src/gateway/startup/object_gateway.rs
@@ -0,0 +1,143 @@
+//! Starts a gateway that serves the object API and the administration API, and takes storage nodes from an
+//! inventory.
+
+use super::{GatewayContext, RunningTasks, listen};
+use crate::gateway::admin_frontend::AdminFrontend;
+use crate::gateway::config::object::{InventorySource, ObjectGatewayConfig};
+use crate::gateway::descriptors::{ConnectionBudget, NodeConnectionTimeouts, divide_descriptors};
+use crate::gateway::error::RunError;
+use crate::gateway::inventory::{InventoryActor, InventoryCommand, RackRegistry};
+use crate::gateway::node_registry::NodeRegistry;
+use crate::gateway::object_frontend::{ObjectFrontend, ObjectLimits, ObjectTransport, Payload, Reply};
+use crate::gateway::reload::reload_inventory;
+use crate::gateway::signals::hangup_signal;
+use crate::protocol::inventory::InventoryNode;
+use crate::routing::{RequestRouter, RouterHandle};
+use crate::scheduler::SchedulerSettings;
+use crate::transport::{self, ConnectionLimits, LifecyclePhase};
+use std::cell::Cell;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::{Semaphore, mpsc, watch};
+use tokio::task::{JoinHandle, spawn_local};
+
+/// Connections to the administration API: enough for a few operators and their tools.
+const ADMIN_CONNECTIONS: ConnectionLimits = ConnectionLimits { served: 16, rejected: 4 };
+/// The object front end counts memory for bodies in permits of so many bytes.
+const MEMORY_PERMIT_BYTES: u64 = 1024;
+
+/// Starts the gateway's actors and its servers.
+///
+/// # Errors
+///
+/// Where the SIGHUP handler or a listener cannot be had.
+pub async fn start(config: ObjectGatewayConfig, context: GatewayContext) -> Result<RunningTasks, RunError> {
+    let hangup = hangup_signal()?;
+    let ConnectionBudget { clients, nodes } = connection_budget(&config);
+    let nodes = NodeRegistry::new(nodes, zone_names(&config.inventory.nodes));
+    let core = Core::start(config.inventory, config.settings, config.limits, nodes, &context);
+    let Core { router, racks, inventory, mut actors } = core;
+    let GatewayContext { metrics, phase, clock, .. } = context;
+    actors.push(spawn_local(reload_inventory(hangup, inventory.clone(), metrics.clone())));
+    let object_frontend = Rc::new(ObjectFrontend {
+        router,
+        clock,
+        tenants: config.tenants.clone(),
+        racks,
+        key: config.upload_key,
+        limits: config.limits,
+        memory: Arc::new(Semaphore::new((config.body_memory / MEMORY_PERMIT_BYTES) as usize)),
+        metrics: metrics.clone(),
+        phase: phase.clone(),
+        next: Cell::new(fastrand::u64(..)),
+    });
+    let admin_frontend = Rc::new(AdminFrontend {
+        token: config.admin_token,
+        tenants: config.tenants,
+        inventory: inventory.clone(),
+        metrics,
+        phase: phase.clone(),
+    });
+    let object_listener = listen(config.listen).await?;
+    let admin_listener = listen(config.admin_listen).await?;
+    let servers = vec![
+        spawn_object_server(object_listener, clients, phase.clone(), object_frontend),
+        spawn_admin_server(admin_listener, phase, admin_frontend),
+    ];
+    Ok(RunningTasks { servers, actors, _inventory: Some(inventory) })
+}
+
+fn connection_budget(config: &ObjectGatewayConfig) -> ConnectionBudget {
+    let for_administration = ADMIN_CONNECTIONS.served + ADMIN_CONNECTIONS.rejected;
+    let timeouts = NodeConnectionTimeouts {
+        connect: Duration::from_micros(config.settings.connect_timeout_us),
+        node_idle: config.node_idle_timeout,
+    };
+    divide_descriptors(config.descriptors.saturating_sub(for_administration), timeouts)
+}
+
+/// The names of the nodes' rooms, sorted, each once.
+fn zone_names(nodes: &[InventoryNode]) -> Vec<String> {
+    let names: BTreeSet<String> = nodes.iter().map(|node| node.room.clone()).collect();
+    names.into_iter().collect()
+}
+
+/// The actors that decide and send, and how the front ends reach them.
+struct Core {
+    router: RouterHandle<Payload, Reply>,
+    racks: RackRegistry,
+    inventory: mpsc::UnboundedSender<InventoryCommand>,
+    actors: Vec<JoinHandle<()>>,
+}
+
+impl Core {
+    fn start(
+        source: InventorySource,
+        settings: SchedulerSettings,
+        limits: ObjectLimits,
+        nodes: NodeRegistry,
+        context: &GatewayContext,
+    ) -> Core {
+        let racks = RackRegistry::default();
+        let metrics = context.metrics.requests.clone();
+        let (router_actor, router) = RequestRouter::new(settings, fastrand::u64(..), context.clock, metrics);
+        let (inventory, commands) = mpsc::unbounded_channel();
+        let inventory_actor = InventoryActor {
+            path: source.file,
+            hosts: source.nodes,
+            racks: racks.clone(),
+            nodes: nodes.clone(),
+            router: router.clone(),
+        };
+        let transport = ObjectTransport { router: router.clone(), nodes, limits };
+        let actors =
+            vec![spawn_local(inventory_actor.run(commands)), spawn_local(router_actor.run(transport))];
+        Core { router, racks, inventory, actors }
+    }
+}
+
+fn spawn_object_server(
+    listener: TcpListener,
+    limits: ConnectionLimits,
+    phase: watch::Receiver<LifecyclePhase>,
+    frontend: Rc<ObjectFrontend>,
+) -> JoinHandle<()> {
+    spawn_local(transport::serve(listener, limits, phase, move |request, context| {
+        let frontend = frontend.clone();
+        async move { frontend.answer(request, context).await }
+    }))
+}
+
+fn spawn_admin_server(
+    listener: TcpListener,
+    phase: watch::Receiver<LifecyclePhase>,
+    frontend: Rc<AdminFrontend>,
+) -> JoinHandle<()> {
+    spawn_local(transport::serve(listener, ADMIN_CONNECTIONS, phase, move |request, context| {
+        let frontend = frontend.clone();
+        async move { frontend.answer(request, context).await }
+    }))
+}
--- /dev/null
+++ b/src/gateway/startup/platform_gateway.rs
@@ -0,0 +1,96 @@
+//! Starts a gateway that speaks the platform's protocol and takes storage nodes from discovery.
+
+use super::{GatewayContext, RunningTasks, listen};
+use crate::gateway::config::platform::PlatformConfig;
+use crate::gateway::descriptors::{ConnectionBudget, NodeConnectionTimeouts, divide_descriptors};
+use crate::gateway::discovery::{EndpointWatcher, watch_wait};
+use crate::gateway::error::RunError;
+use crate::gateway::node_registry::NodeRegistry;
+use crate::gateway::platform_frontend::{PlatformFrontend, PlatformTransport};
+use crate::gateway::reload::reload_discovery_address;
+use crate::gateway::signals::hangup_signal;
+use crate::routing::RequestRouter;
+use crate::scheduler::SchedulerSettings;
+use crate::transport::{self, ConnectionLimits, LifecyclePhase};
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+use tokio::task::{JoinHandle, spawn_local};
+
+/// The shortest connect timeout, for settings that state none or next to none.
+const MIN_CONNECT_TIMEOUT_US: u64 = 1_000;
+
+/// Starts the gateway's actors and its server.
+///
+/// # Errors
+///
+/// Where the SIGHUP handler or the listener cannot be had.
+pub async fn start(config: PlatformConfig, context: GatewayContext) -> Result<RunningTasks, RunError> {
+    let GatewayContext { shutdown, metrics, phase, clock } = context;
+    let hangup = hangup_signal()?;
+    shutdown.extend_service_period(longest_deadline(&config.settings));
+    let ConnectionBudget { clients, nodes } = connection_budget(&config);
+    let nodes = NodeRegistry::new(nodes, config.zones);
+    let overload_retry_after_us = config.settings.max_retry_after_us;
+    let watch_wait = watch_wait(config.settings.gateway_index, config.settings.gateway_count);
+    let (router_actor, router) =
+        RequestRouter::new(config.settings, config.seed, clock, metrics.requests.clone());
+    let (poll_sender, poll_requests) = mpsc::unbounded_channel();
+    let (address_sender, discovery_address) = watch::channel(config.discovery);
+    let watcher = EndpointWatcher {
+        discovery_address,
+        watch_wait,
+        cached_list: config.cached_list,
+        nodes: nodes.clone(),
+        router: router.clone(),
+        metrics: metrics.clone(),
+    };
+    let transport = PlatformTransport { router: router.clone(), nodes, watch: poll_sender };
+    let actors = vec![
+        spawn_local(watcher.run(poll_requests)),
+        spawn_local(router_actor.run(transport)),
+        spawn_local(reload_discovery_address(hangup, address_sender, metrics.clone())),
+    ];
+    let frontend = Rc::new(PlatformFrontend {
+        router,
+        clock,
+        names: config.names,
+        metrics,
+        phase: phase.clone(),
+        overload_retry_after_us,
+        shutdown,
+        open: RefCell::default(),
+    });
+    let server = start_server(config.listen, clients, phase, frontend).await?;
+    Ok(RunningTasks { servers: vec![server], actors, _inventory: None })
+}
+
+fn longest_deadline(settings: &SchedulerSettings) -> Duration {
+    let longest_us = settings.classes.iter().map(|class| class.deadline_us).max();
+    Duration::from_micros(longest_us.unwrap_or(0))
+}
+
+fn connection_budget(config: &PlatformConfig) -> ConnectionBudget {
+    let connect_timeout_us = config.settings.connect_timeout_us.max(MIN_CONNECT_TIMEOUT_US);
+    let timeouts = NodeConnectionTimeouts {
+        connect: Duration::from_micros(connect_timeout_us),
+        node_idle: config.node_idle_timeout,
+    };
+    divide_descriptors(config.descriptors, timeouts)
+}
+
+async fn start_server(
+    address: SocketAddr,
+    limits: ConnectionLimits,
+    phase: watch::Receiver<LifecyclePhase>,
+    frontend: Rc<PlatformFrontend>,
+) -> Result<JoinHandle<()>, RunError> {
+    let listener = listen(address).await?;
+    let server = transport::serve(listener, limits, phase, move |request, context| {
+        let frontend = frontend.clone();
+        async move { frontend.answer(request, context).await }
+    });
+    Ok(spawn_local(server))
+}
