--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -1,5 +1,5 @@
 //! The scheduler's settings for the object API. What the operator's file does not state is fixed here; the
-//! figures that the platform would state follow the settings in the Wire page's example.
+//! values that the platform would state follow the settings in the Wire page's example.
 
 use super::file::{ClassSection, ObjectConfigFile, PlanSection};
 use crate::scheduler::{DeduplicationScope, Idempotency, RequestClass, SchedulerSettings, ServicePlan};
@@ -16,7 +16,7 @@
 /// `connectTimeoutUs` of the Wire page's example.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
 /// The longest `Retry-After` that clients are expected to follow. The object API gives it in whole seconds.
-/// The figure is the gateway's own.
+/// The value is the gateway's own.
 const MAX_RETRY_AFTER_US: u64 = 5_000_000;
 /// `graceToAnswerUs` of the Wire page's example.
 const ANSWER_GRACE_US: u64 = 8_000;
--- a/src/gateway/descriptors.rs
+++ b/src/gateway/descriptors.rs
@@ -9,7 +9,7 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// The fewest descriptors that are divided, however low the limit is set.
 const MIN_DIVIDED_DESCRIPTORS: usize = 16;
-/// Two fifths of the descriptors are for connections to storage nodes. Usual clients hold at most a third of
+/// Two fifths of the descriptors are for connections to storage nodes. Usual clients take up at most a third of
 /// all. With a quarter for nodes a crowded gateway ran out of them, and an attempt that finds none ends its
 /// request.
 const NODE_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -18,18 +18,18 @@
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 /// By how much less the watch of the last of many gateways waits.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_secs(8);
-/// How long a call that does not wait may take, and how much longer than its wait a watch may. What a silent
-/// watch misses counts as told 2 s after its wait (Protocol page, "Figures"). A failed call is repeated in
-/// the gateway's turn, 4.5 s later at most, which with this makes the 6 s after which all changes count as
-/// told.
+/// How long a call that does not wait may take, and how much longer than its wait a watch may. Gateways count
+/// as notified of what a silent watch misses 2 s after its wait (Protocol page, "Figures"). A failed call is
+/// repeated in the gateway's turn, 4.5 s later at most; together with this timeout that makes the 6 s after
+/// which gateways count as notified of any change (same place).
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest endpoint list that is read, in bytes. The limit is the gateway's own: 3,200 storage nodes, the
 /// most of "A Fixed Test for All Future Versions of the Gateway", take 419,200 bytes at the length of the
 /// Protocol page's example.
 const MAX_LIST_LEN: usize = 4 * 1024 * 1024;
 
-/// How long the watch of one of many gateways waits. Watches begin together with each change and may fall
-/// silent together; different waits have them given up, and opened anew, one by one.
+/// How long the watch of one of many gateways waits. Watches begin together with each change and may stop
+/// responding together; different waits have them time out, and be reopened, one by one.
 pub fn watch_wait(gateway_index: usize, gateway_count: usize) -> Duration {
     let position = gateway_index.min(gateway_count) as f64 / gateway_count.max(1) as f64;
     MAX_WATCH_WAIT - WATCH_WAIT_SPREAD.mul_f64(position)
@@ -39,9 +39,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum PollError {
     /// A watch got no answer in all the time that it may take.
-    #[error("the watch fell silent")]
-    WatchSilent,
-    /// Discovery refused the call, broke it off, or answered with something else than a list.
+    #[error("the watch timed out")]
+    WatchTimedOut,
+    /// Discovery rejected the call, broke it off, or answered with something else than a list.
     #[error("the call failed")]
     CallFailed,
 }
@@ -51,8 +51,8 @@
 struct WatchSession {
     /// The connection of the last poll, if the answer came complete.
     connection: Option<NodeConnection>,
-    /// The last poll fell silent; another silent one ends the session.
-    fell_silent: bool,
+    /// The last poll timed out; another that times out ends the session.
+    timed_out: bool,
 }
 
 /// The actor that polls discovery and passes endpoint lists on to the router.
@@ -100,10 +100,10 @@
 
     /// Polls again after each answer, until a call fails.
     ///
-    /// When discovery moves, the watch moves at once: the old address may still hold the call, but it tells
-    /// nothing more, and what the new one has to tell counts as told soon after. A watch that has fallen
-    /// silent is opened anew at once as well, as what it missed is about to count as told; the scheduler is
-    /// notified, as that may have been told already.
+    /// When discovery moves, the watch moves at once: the old address may still hold the call, but sends
+    /// nothing more, and soon after the move the gateway counts as notified of what the new one has. A watch
+    /// that timed out is reopened at once as well, as the gateway is about to count as notified of what it
+    /// missed; the scheduler is informed, as that moment may already have passed.
     async fn watch_until_failure(
         &self,
         version: &mut Option<u64>,
@@ -120,12 +120,12 @@
             };
             match polled {
                 Ok(list) => {
-                    session.fell_silent = false;
+                    session.timed_out = false;
                     *version = Some(list.version);
                     self.publish(&list);
                 }
-                Err(PollError::WatchSilent) if !session.fell_silent => {
-                    session.fell_silent = true;
+                Err(PollError::WatchTimedOut) if !session.timed_out => {
+                    session.timed_out = true;
                     self.router.endpoints_updated(EndpointUpdate::PollFailed);
                 }
                 Err(_) => return,
@@ -159,7 +159,7 @@
             Err(_) => {
                 self.metrics.list_failures.increment();
                 let is_watch = version.is_some();
-                Err(if is_watch { PollError::WatchSilent } else { PollError::CallFailed })
+                Err(if is_watch { PollError::WatchTimedOut } else { PollError::CallFailed })
             }
         }
     }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -20,13 +20,13 @@
     pub list_calls: Counter,
     /// Those that failed.
     pub list_failures: Counter,
-    /// Endpoint lists that could not be decoded; the previous one was kept.
+    /// Endpoint lists that could not be decoded; the previous one stayed in effect.
     pub list_malformed: Counter,
     /// Endpoints that the lists named, in all.
     pub list_entries: Counter,
     /// Reloads of the configuration.
     pub reloads: Counter,
-    /// Reloads that failed; the previous configuration was kept.
+    /// Reloads that failed; the previous configuration stayed in effect.
     pub reloads_failed: Counter,
 }
 
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -38,8 +38,8 @@
     let hangup = hangup_signal()?;
     let ConnectionBudget { clients, nodes } = connection_budget(&config);
     let nodes = NodeRegistry::new(nodes, zone_names(&config.inventory.nodes));
-    let core = Core::start(config.inventory, config.settings, config.limits, nodes, &context);
-    let Core { router, racks, inventory, mut actors } = core;
+    let started = GatewayActors::start(config.inventory, config.settings, config.limits, nodes, &context);
+    let GatewayActors { router, racks, inventory, tasks: mut actors } = started;
     let GatewayContext { metrics, phase, clock, .. } = context;
     actors.push(spawn_local(reload_inventory(hangup, inventory.clone(), metrics.clone())));
     let object_frontend = Rc::new(ObjectFrontend {
@@ -85,22 +85,22 @@
     names.into_iter().collect()
 }
 
-/// The actors that decide and send, and how the front ends reach them.
-struct Core {
+/// The router's and the inventory's actors, and what reaches them.
+struct GatewayActors {
     router: RouterHandle<Payload, Reply>,
     racks: RackRegistry,
     inventory: mpsc::UnboundedSender<InventoryCommand>,
-    actors: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
-impl Core {
+impl GatewayActors {
     fn start(
         source: InventorySource,
         settings: SchedulerSettings,
         limits: ObjectLimits,
         nodes: NodeRegistry,
         context: &GatewayContext,
-    ) -> Core {
+    ) -> GatewayActors {
         let racks = RackRegistry::default();
         let metrics = context.metrics.requests.clone();
         let (router_actor, router) = RequestRouter::new(settings, fastrand::u64(..), context.clock, metrics);
@@ -113,9 +113,9 @@
             router: router.clone(),
         };
         let transport = ObjectTransport { router: router.clone(), nodes, limits };
-        let actors =
+        let tasks =
             vec![spawn_local(inventory_actor.run(commands)), spawn_local(router_actor.run(transport))];
-        Core { router, racks, inventory, actors }
+        GatewayActors { router, racks, inventory, tasks }
     }
 }
 
