--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use crate::protocol::client_request::NameTable;
 use crate::protocol::endpoint_list::{self, EndpointList};
-use crate::protocol::settings::{WireOptions, settings};
+use crate::protocol::settings::PlatformSettings;
 use crate::scheduler::{Idempotency, SchedulerSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -19,7 +19,7 @@
     limits: WireLimits,
     #[serde(borrow)]
     known: Option<&'a RawValue>,
-    settings: WireOptions,
+    settings: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -70,7 +70,7 @@
         let wire: WireConfig = serde_json::from_slice(text).map_err(|e| e.to_string())?;
         // A list that cannot be read is as good as none: discovery will tell.
         let known = wire.known.and_then(|k| endpoint_list::decode(k.get().as_bytes()).ok());
-        let set = settings(&wire.settings);
+        let set = wire.settings.to_scheduler_settings();
         if set.classes.is_empty() || set.plans.is_empty() {
             return Err("the settings name no class or no plan".into());
         }
@@ -91,7 +91,7 @@
                     .collect(),
             },
             zones: wire.settings.zones(),
-            idle: Duration::from_micros(wire.settings.idle()),
+            idle: Duration::from_micros(wire.settings.node_idle_timeout_us().unwrap_or(0)),
             settings: set,
         })
     }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,37 +1,130 @@
 //! The settings in the form in which both the simulator's first message and the platform's configuration
 //! give them.
+//!
+//! Fields carry the scheduler's names; the names on the wire stand in the serde attributes. Fields that are
+//! missing on the wire take the defaults given here, and unknown ones are ignored.
 
-use crate::scheduler::{self, DeduplicationScope, Idempotency, RateLimit};
+use crate::scheduler::{
+    DeduplicationScope, Idempotency, RateLimit, RequestClass, RetryBudget, SchedulerSettings, ServicePlan,
+    SlowStartPolicy,
+};
 use serde::Deserialize;
 
+/// The settings as the platform gives them.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "camelCase", default)]
+pub struct PlatformSettings {
+    #[serde(rename = "azs")]
+    zones: Vec<String>,
+    #[serde(rename = "balancers")]
+    gateway_count: usize,
+    classes: Vec<WireClass>,
+    discovery: DiscoveryMode,
+    #[serde(rename = "familyInfo")]
+    workload: WireWorkload,
+    #[serde(rename = "index")]
+    gateway_index: usize,
+    #[serde(rename = "policies")]
+    plans: Vec<WirePlan>,
+    #[serde(rename = "policyLimits")]
+    limits: WireLimits,
+    #[serde(rename = "resolutionUs")]
+    batch_interval_us: u64,
+    rules: WireRules,
+}
+
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct WireClass {
-    aim_stretch: f64,
-    promise_us: u64,
+    #[serde(rename = "aimStretch")]
+    objective_stretch: f64,
+    #[serde(rename = "promiseUs")]
+    latency_objective_us: u64,
     deadline_us: u64,
-    idempotency: String,
-    key_scope: String,
-    one_at_a_time: bool,
-    late_value: f64,
+    idempotency: WireIdempotency,
+    key_scope: WireKeyScope,
+    #[serde(rename = "oneAtATime")]
+    ordered_by_key: bool,
+    #[serde(rename = "lateValue")]
+    late_weight_factor: f64,
     name: String,
-    repeat_window_us: u64,
-    worth: f64,
+    #[serde(rename = "repeatWindowUs")]
+    deduplication_window_us: u64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
 }
 
 impl Default for WireClass {
     fn default() -> Self {
         WireClass {
-            aim_stretch: 0.0,
-            promise_us: 0,
+            objective_stretch: 0.0,
+            latency_objective_us: 0,
             deadline_us: 0,
-            idempotency: String::new(),
-            key_scope: String::new(),
-            one_at_a_time: false,
-            late_value: 0.0,
+            idempotency: WireIdempotency::default(),
+            key_scope: WireKeyScope::default(),
+            ordered_by_key: false,
+            late_weight_factor: 0.0,
             name: String::new(),
-            repeat_window_us: 0,
-            worth: 1.0,
+            deduplication_window_us: 0,
+            priority_weight: 1.0,
+        }
+    }
+}
+
+/// Which repetitions of a class's requests are harmless; whatever is not known to be harmless is not.
+#[derive(Clone, Copy, Default, Deserialize)]
+#[serde(from = "String")]
+enum WireIdempotency {
+    Idempotent,
+    WithKey,
+    #[default]
+    NonIdempotent,
+}
+
+impl From<String> for WireIdempotency {
+    fn from(text: String) -> Self {
+        match text.as_str() {
+            "read_like" => WireIdempotency::Idempotent,
+            "idempotency_key" => WireIdempotency::WithKey,
+            _ => WireIdempotency::NonIdempotent,
+        }
+    }
+}
+
+/// Which nodes recognize an idempotency key; the narrowest scope unless a wider one is stated.
+#[derive(Clone, Copy, Default, Deserialize)]
+#[serde(from = "String")]
+enum WireKeyScope {
+    AllNodes,
+    Zone,
+    #[default]
+    Shard,
+}
+
+impl From<String> for WireKeyScope {
+    fn from(text: String) -> Self {
+        match text.as_str() {
+            "all" => WireKeyScope::AllNodes,
+            "zone" => WireKeyScope::Zone,
+            _ => WireKeyScope::Shard,
+        }
+    }
+}
+
+/// How a gateway learns of changes to the endpoint list.
+#[derive(Clone, Copy, Default, PartialEq, Deserialize)]
+#[serde(from = "String")]
+enum DiscoveryMode {
+    OnRequest,
+    #[default]
+    Pushed,
+}
+
+impl From<String> for DiscoveryMode {
+    fn from(text: String) -> Self {
+        match text.as_str() {
+            "on_request" => DiscoveryMode::OnRequest,
+            _ => DiscoveryMode::Pushed,
         }
     }
 }
@@ -39,181 +132,229 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct WirePlan {
-    cap: f64,
-    cap_depth: f64,
-    cap_slack: f64,
+    #[serde(rename = "cap")]
+    rate_limit: f64,
+    #[serde(rename = "capDepth")]
+    burst: f64,
+    #[serde(rename = "capSlack")]
+    overdraft: f64,
     name: String,
-    proportion: f64,
-    rate: f64,
-    reserve: f64,
-    worth_factor: f64,
+    #[serde(rename = "proportion")]
+    weight: f64,
+    #[serde(rename = "rate")]
+    provisioned_rate: f64,
+    #[serde(rename = "reserve")]
+    reserved_rate: f64,
+    #[serde(rename = "worthFactor")]
+    priority_factor: f64,
 }
 
 impl Default for WirePlan {
     fn default() -> Self {
         WirePlan {
-            cap: 0.0,
-            cap_depth: 0.0,
-            cap_slack: 0.0,
+            rate_limit: 0.0,
+            burst: 0.0,
+            overdraft: 0.0,
             name: String::new(),
-            proportion: 1.0,
-            rate: 0.0,
-            reserve: 0.0,
-            worth_factor: 1.0,
+            weight: 1.0,
+            provisioned_rate: 0.0,
+            reserved_rate: 0.0,
+            priority_factor: 1.0,
         }
     }
 }
 
+/// What the deployment states of its requests and storage nodes.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct WireFamily {
-    cold_bears: Option<f64>,
-    says_others: bool,
-    units_top: f64,
-    use_period_us: u64,
-    writes: Vec<bool>,
-    usual_units: f64,
-    within_share: f64,
+struct WireWorkload {
+    #[serde(rename = "coldBears")]
+    slow_start_units: Option<f64>,
+    #[serde(rename = "saysOthers")]
+    reports_other_gateways: bool,
+    #[serde(rename = "unitsTop")]
+    max_request_units: f64,
+    #[serde(rename = "usePeriodUs")]
+    metering_period_us: u64,
+    #[serde(rename = "writes")]
+    class_writes: Vec<bool>,
+    #[serde(rename = "usualUnits")]
+    mean_request_units: f64,
+    #[serde(rename = "withinShare")]
+    fair_share_weight_factor: f64,
 }
 
+/// What a gateway may do; 0 stands for "not stated".
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
-struct WireAllowed {
-    cancel: bool,
-    conn_idle_us: u64,
+struct WireLimits {
+    #[serde(rename = "cancel")]
+    cancellation: bool,
+    #[serde(rename = "connIdleUs")]
+    node_idle_timeout_us: u64,
     connect_timeout_us: u64,
     max_attempts: u32,
     max_retry_after_us: u64,
     retry_after: bool,
 }
 
+/// The rules of the deployment.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireRules {
-    ask_within_us: u64,
-    cold_from: f64,
+    #[serde(rename = "askWithinUs")]
+    max_poll_interval_us: u64,
+    #[serde(rename = "coldFrom")]
+    initial_capacity: f64,
     drain_grace_us: u64,
-    extra_free: Option<f64>,
-    extra_ratio: Option<f64>,
-    extra_window_us: Option<u64>,
-    fall_us: u64,
-    grace_to_answer_us: u64,
-    tip_multiple: Option<f64>,
-    turn_gap_us: u64,
+    #[serde(rename = "extraFree")]
+    retry_burst: Option<f64>,
+    #[serde(rename = "extraRatio")]
+    retry_ratio: Option<f64>,
+    #[serde(rename = "extraWindowUs")]
+    retry_window_us: Option<u64>,
+    #[serde(rename = "fallUs")]
+    slow_start_window_us: u64,
+    #[serde(rename = "graceToAnswerUs")]
+    answer_grace_us: u64,
+    #[serde(rename = "tipMultiple")]
+    overload_factor: Option<f64>,
+    #[serde(rename = "turnGapUs")]
+    ordering_gap_us: u64,
     warm_up_us: u64,
 }
 
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-/// The settings as the wire names them.
-pub struct WireOptions {
-    azs: Vec<String>,
-    balancers: usize,
-    classes: Vec<WireClass>,
-    discovery: String,
-    family_info: WireFamily,
-    index: usize,
-    policies: Vec<WirePlan>,
-    policy_limits: WireAllowed,
-    resolution_us: u64,
-    rules: WireRules,
-}
-
-/// The module's settings from those of the wire.
-pub fn settings(o: &WireOptions) -> scheduler::SchedulerSettings {
-    let idempotency = |c: &WireClass| match c.idempotency.as_str() {
-        "read_like" => Idempotency::Idempotent,
-        "idempotency_key" => {
-            let scope = match c.key_scope.as_str() {
-                "all" => DeduplicationScope::AllNodes,
-                "zone" => DeduplicationScope::Zone,
-                _ => DeduplicationScope::Shard,
-            };
-            Idempotency::WithKey { scope, window_us: c.repeat_window_us }
+impl PlatformSettings {
+    /// The settings for the scheduler.
+    pub fn to_scheduler_settings(&self) -> SchedulerSettings {
+        let PlatformSettings { workload, limits, rules, .. } = self;
+        SchedulerSettings {
+            classes: self.classes.iter().map(WireClass::to_request_class).collect(),
+            plans: self.plans.iter().map(WirePlan::to_service_plan).collect(),
+            gateway_index: self.gateway_index,
+            gateway_count: self.gateway_count,
+            batch_interval_us: self.batch_interval_us,
+            max_attempts: (limits.max_attempts > 0).then_some(limits.max_attempts),
+            cancellation: limits.cancellation,
+            connect_timeout_us: limits.connect_timeout_us,
+            max_retry_after_us: limits.max_retry_after(),
+            answer_grace_us: rules.answer_grace_us,
+            endpoints_on_request: self.discovery == DiscoveryMode::OnRequest,
+            max_poll_interval_us: rules.max_poll_interval_us,
+            drain_grace_us: rules.drain_grace_us,
+            slow_start: rules.slow_start_policy(workload),
+            retry_budget: rules.retry_budget(),
+            ordering_gap_us: rules.ordering_gap_us,
+            mean_request_units: workload.mean_request_units,
+            max_request_units: workload.max_request_units,
+            fair_share_weight_factor: workload.fair_share_weight_factor,
+            metering_period_us: nonzero(workload.metering_period_us),
+            reports_other_gateways: workload.reports_other_gateways,
         }
-        _ => Idempotency::NonIdempotent,
-    };
-    let class = |c: &WireClass| scheduler::RequestClass {
-        latency_objective_us: (c.promise_us > 0).then_some(c.promise_us),
-        deadline_us: c.deadline_us,
-        priority_weight: c.worth,
-        late_weight_factor: c.late_value,
-        idempotency: idempotency(c),
-        ordered_by_key: c.one_at_a_time,
-        objective_stretch: c.aim_stretch,
-    };
-    let plan = |p: &WirePlan| scheduler::ServicePlan {
-        provisioned_rate: p.rate,
-        reserved_rate: p.reserve,
-        weight: p.proportion,
-        priority_factor: p.worth_factor,
-        rate_limit: (p.cap > 0.0).then_some(RateLimit {
-            rate: p.cap,
-            burst: p.cap_depth,
-            overdraft: p.cap_slack,
-        }),
-    };
-    let (f, l, r) = (&o.family_info, &o.policy_limits, &o.rules);
-    scheduler::SchedulerSettings {
-        classes: o.classes.iter().map(class).collect(),
-        plans: o.policies.iter().map(plan).collect(),
-        gateway_index: o.index,
-        gateway_count: o.balancers,
-        batch_interval_us: o.resolution_us,
-        max_attempts: (l.max_attempts > 0).then_some(l.max_attempts),
-        cancellation: l.cancel,
-        connect_timeout_us: l.connect_timeout_us,
-        max_retry_after_us: (l.retry_after && l.max_retry_after_us > 0).then_some(l.max_retry_after_us),
-        answer_grace_us: r.grace_to_answer_us,
-        endpoints_on_request: o.discovery == "on_request",
-        max_poll_interval_us: r.ask_within_us,
-        drain_grace_us: r.drain_grace_us,
-        slow_start: f.cold_bears.zip(r.tip_multiple).map(|(guaranteed_units, overload_factor)| {
-            scheduler::SlowStartPolicy {
-                guaranteed_units,
-                window_us: r.fall_us,
-                initial_capacity: r.cold_from,
-                warm_up_us: r.warm_up_us,
-                overload_factor,
-            }
-        }),
-        retry_budget: r.extra_ratio.zip(r.extra_window_us).map(|(ratio, window_us)| scheduler::RetryBudget {
-            burst: r.extra_free.unwrap_or(0.0),
-            ratio,
-            window_us,
-        }),
-        ordering_gap_us: r.turn_gap_us,
-        mean_request_units: f.usual_units,
-        max_request_units: f.units_top,
-        fair_share_weight_factor: f.within_share,
-        metering_period_us: (f.use_period_us > 0).then_some(f.use_period_us),
-        reports_other_gateways: f.says_others,
-    }
-}
-
-impl WireOptions {
+    }
+
     /// The names of the classes, in order of their numbers.
     pub fn class_names(&self) -> Vec<String> {
-        self.classes.iter().map(|c| c.name.clone()).collect()
+        self.classes.iter().map(|class| class.name.clone()).collect()
     }
 
     /// The names of the plans, in order of their numbers.
     pub fn plan_names(&self) -> Vec<String> {
-        self.policies.iter().map(|p| p.name.clone()).collect()
+        self.plans.iter().map(|plan| plan.name.clone()).collect()
     }
 
-    /// Whether each class writes; empty: not told.
+    /// Whether each class writes, in order of their numbers; empty if unknown.
     pub fn writes(&self) -> Vec<bool> {
-        self.family_info.writes.clone()
+        self.workload.class_writes.clone()
     }
 
-    /// The names of the rooms, in order of their numbers.
+    /// The names of the zones, in order of their numbers.
     pub fn zones(&self) -> Vec<String> {
-        self.azs.clone()
+        self.zones.clone()
+    }
+
+    /// How long a storage node keeps an idle connection, in microseconds; none if unknown.
+    pub fn node_idle_timeout_us(&self) -> Option<u64> {
+        nonzero(self.limits.node_idle_timeout_us)
     }
+}
 
-    /// How long a storage node keeps an idle connection, in microseconds; 0: not told.
-    pub fn idle(&self) -> u64 {
-        self.policy_limits.conn_idle_us
+impl WireClass {
+    fn to_request_class(&self) -> RequestClass {
+        RequestClass {
+            latency_objective_us: nonzero(self.latency_objective_us),
+            deadline_us: self.deadline_us,
+            priority_weight: self.priority_weight,
+            late_weight_factor: self.late_weight_factor,
+            idempotency: self.to_idempotency(),
+            ordered_by_key: self.ordered_by_key,
+            objective_stretch: self.objective_stretch,
+        }
+    }
+
+    fn to_idempotency(&self) -> Idempotency {
+        match self.idempotency {
+            WireIdempotency::Idempotent => Idempotency::Idempotent,
+            WireIdempotency::WithKey => {
+                Idempotency::WithKey { scope: self.key_scope.into(), window_us: self.deduplication_window_us }
+            }
+            WireIdempotency::NonIdempotent => Idempotency::NonIdempotent,
+        }
+    }
+}
+
+impl From<WireKeyScope> for DeduplicationScope {
+    fn from(scope: WireKeyScope) -> Self {
+        match scope {
+            WireKeyScope::AllNodes => DeduplicationScope::AllNodes,
+            WireKeyScope::Zone => DeduplicationScope::Zone,
+            WireKeyScope::Shard => DeduplicationScope::Shard,
+        }
     }
 }
+
+impl WirePlan {
+    fn to_service_plan(&self) -> ServicePlan {
+        let rate_limit = RateLimit { rate: self.rate_limit, burst: self.burst, overdraft: self.overdraft };
+        ServicePlan {
+            provisioned_rate: self.provisioned_rate,
+            reserved_rate: self.reserved_rate,
+            weight: self.weight,
+            priority_factor: self.priority_factor,
+            rate_limit: (self.rate_limit > 0.0).then_some(rate_limit),
+        }
+    }
+}
+
+impl WireLimits {
+    fn max_retry_after(&self) -> Option<u64> {
+        if self.retry_after { nonzero(self.max_retry_after_us) } else { None }
+    }
+}
+
+impl WireRules {
+    /// None unless both what a starting node bears and when it is overloaded are stated.
+    fn slow_start_policy(&self, workload: &WireWorkload) -> Option<SlowStartPolicy> {
+        Some(SlowStartPolicy {
+            guaranteed_units: workload.slow_start_units?,
+            window_us: self.slow_start_window_us,
+            initial_capacity: self.initial_capacity,
+            warm_up_us: self.warm_up_us,
+            overload_factor: self.overload_factor?,
+        })
+    }
+
+    /// None unless both ratio and window are stated.
+    fn retry_budget(&self) -> Option<RetryBudget> {
+        Some(RetryBudget {
+            burst: self.retry_burst.unwrap_or(0.0),
+            ratio: self.retry_ratio?,
+            window_us: self.retry_window_us?,
+        })
+    }
+}
+
+/// A number that the wire gives as 0 where it is not stated.
+fn nonzero(number: u64) -> Option<u64> {
+    (number > 0).then_some(number)
+}
