--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -84,7 +84,7 @@
                 classes: wire.settings.class_names(),
                 plans: wire.settings.plan_names(),
                 writes: wire.settings.writes(),
-                keyed: set
+                has_idempotency_key: set
                     .classes
                     .iter()
                     .map(|c| matches!(c.idempotency, Idempotency::WithKey { .. }))
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -118,11 +118,11 @@
         let head_only = request.method() == Method::HEAD;
         let resource = request.uri().path().to_string();
         let served = match (resource.as_str(), context.admission) {
-            (client_request::LIVE, _) => Ok(Response::new(full_body("alive\n"))),
-            (client_request::READY, _) if *self.phase.borrow() == LifecyclePhase::Serving => {
+            (client_request::LIVENESS_PATH, _) => Ok(Response::new(full_body("alive\n"))),
+            (client_request::READINESS_PATH, _) if *self.phase.borrow() == LifecyclePhase::Serving => {
                 Ok(Response::new(full_body("ready\n")))
             }
-            (client_request::READY, _) => Err(plain(ApiError::slow_down())),
+            (client_request::READINESS_PATH, _) => Err(plain(ApiError::slow_down())),
             (_, Admission::Overloaded) => {
                 self.metrics.overload.increment();
                 Err((ApiError::slow_down(), Some(1_000_000)))
--- a/src/gateway/platform_frontend.rs
+++ b/src/gateway/platform_frontend.rs
@@ -92,11 +92,13 @@
         let plain = |status: StatusCode, text: String| (status, text.into(), None);
         match request.uri().path() {
             // The front exists only once the known list has been told, so here it can serve.
-            client_request::READY if *self.phase.borrow() == LifecyclePhase::Serving => {
+            client_request::READINESS_PATH if *self.phase.borrow() == LifecyclePhase::Serving => {
                 return plain(StatusCode::OK, "ready\n".into());
             }
-            client_request::READY => return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n".into()),
-            client_request::LIVE => return plain(StatusCode::OK, "alive\n".into()),
+            client_request::READINESS_PATH => {
+                return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n".into());
+            }
+            client_request::LIVENESS_PATH => return plain(StatusCode::OK, "alive\n".into()),
             _ => {}
         }
         if context.admission == Admission::Overloaded {
@@ -121,11 +123,11 @@
             return plain(StatusCode::CONFLICT, "a request of this id is open\n".into());
         };
         // What says that it will be too large is not waited for.
-        if body.size_hint().lower() > client_request::BODY_MOST as u64 {
+        if body.size_hint().lower() > client_request::MAX_BODY_LEN as u64 {
             return self.too_large();
         }
         // A client that stops halfway must not hold its connection for ever.
-        let whole = Limited::new(body, client_request::BODY_MOST).collect();
+        let whole = Limited::new(body, client_request::MAX_BODY_LEN).collect();
         let body = match tokio::time::timeout_at(context.started_at + REQUEST_TIME, whole).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) if e.is::<LengthLimitError>() => return self.too_large(),
@@ -190,7 +192,7 @@
             cancelled,
             stall_timeout: STALL,
             streaming: StreamingRule::never(),
-            max_body_len: client_request::BODY_MOST,
+            max_body_len: client_request::MAX_BODY_LEN,
             on_event: Box::new(move |end| router.attempt_ended(request, number, report(end))),
         });
     }
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -1,5 +1,6 @@
 //! The platform's protocol between clients, gateways and storage nodes.
 
+use crate::scheduler::{BlockId, ShardId, VolumeId};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
@@ -7,90 +8,156 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::time::Duration;
 
-use crate::scheduler::{BlockId, ShardId, VolumeId};
+/// The largest body that the platform allows, in bytes.
+pub const MAX_BODY_LEN: usize = 64 * 1024;
+/// The path of the readiness check: whether the gateway takes requests.
+pub const READINESS_PATH: &str = "/health/ready";
+/// The path of the liveness check: whether the gateway runs.
+pub const LIVENESS_PATH: &str = "/health/live";
 
-/// The largest body that the platform allows.
-pub const BODY_MOST: usize = 64 * 1024;
-/// Where it asks whether the gateway is in use.
-pub const READY: &str = "/health/ready";
-/// Where it asks whether the gateway runs.
-pub const LIVE: &str = "/health/live";
+/// The length of the hexadecimal numbers of volumes and blocks, in digits.
+const HEX_DIGITS: usize = 16;
+/// The shortest `Retry-After` given out: its three decimals would show less as zero.
+const MIN_RETRY_AFTER_US: u64 = 1_000;
+/// The host named to a storage node where the client names none.
+const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
+/// The client's headers that are forwarded to storage nodes.
+const FORWARDED_HEADERS: [&str; 7] =
+    ["host", "req-id", "req-kind", "tier", "io-info", "idempotency-key", "req-retry"];
 
-/// The names that requests use for what the settings number.
+/// The names that requests use for the classes and plans that the settings number.
 #[derive(Clone, Debug)]
 pub struct NameTable {
-    /// The classes.
+    /// The names of the classes, in order of their numbers.
     pub classes: Vec<String>,
-    /// The plans.
+    /// The names of the plans, in order of their numbers.
     pub plans: Vec<String>,
-    /// Whether each class writes; empty: not told.
+    /// Whether each class writes; empty if unknown.
     pub writes: Vec<bool>,
-    /// Whether each class carries a key.
-    pub keyed: Vec<bool>,
+    /// Whether the requests of each class carry an idempotency key.
+    pub has_idempotency_key: Vec<bool>,
 }
 
-/// Why a request is answered 400.
+/// Why a client's request cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// Neither read nor write.
+    /// Neither a read nor a write.
     #[error("the method is neither GET nor PUT")]
     Method,
     /// The method is not that of the class.
     #[error("reads use GET, writes use PUT")]
-    Kind,
-    /// The body's length is not stated in one plain way: it could hide another request.
+    MethodOfClass,
+    /// The body's length is stated ambiguously: another request could be smuggled in it.
     #[error("the body's length is to be stated once, or its chunks tell it")]
     Length,
-    /// A header is missing, twice there or not readable.
+    /// A header is missing, repeated or malformed.
     #[error("{0} is missing or malformed")]
     Header(&'static str),
-    /// The path names no piece of data.
+    /// The path names no block.
     #[error("the path does not end in 16 hex digits")]
     Block,
-    /// The settings know no such class.
+    /// The settings have no such class.
     #[error("unknown Req-Kind")]
-    Class,
-    /// The settings know no such plan.
+    UnknownClass,
+    /// The settings have no such plan.
     #[error("unknown Tier")]
-    Plan,
+    UnknownPlan,
 }
 
-/// What a request asks for.
+/// What the head of a client's request states.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// The class.
+    /// The class, as an index into the settings.
     pub class: usize,
-    /// The plan.
+    /// The plan, as an index into the settings.
     pub plan: usize,
     /// The volume.
     pub volume: VolumeId,
-    /// The gateways that the volume's requests come through.
+    /// How many gateways the volume's requests come through.
     pub volume_gateways: f64,
-    /// The piece of data.
+    /// The block.
     pub block: BlockId,
-    /// The shard that holds it; none: a new object.
+    /// The shard that holds the block; none for a new object.
     pub shard: Option<ShardId>,
-    /// The size.
+    /// The size in units.
     pub units: f64,
     /// How long the client waits, in microseconds.
     pub timeout_us: u64,
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
-    let mut values = headers.get_all(name).iter();
-    match (values.next(), values.next()) {
-        (Some(value), None) => value.to_str().map_err(|_| RequestError::Header(name)),
-        _ => Err(RequestError::Header(name)),
+/// Decodes the head of a client's request. `conflicting_length` says whether the connection found that the
+/// head states the body's length in conflicting ways.
+///
+/// # Errors
+///
+/// Where a part of the head is missing, malformed or ambiguous, or names an unknown class or plan.
+pub fn decode(
+    head: &Parts,
+    conflicting_length: bool,
+    names: &NameTable,
+) -> Result<ParsedRequest, RequestError> {
+    check_method(head)?;
+    if conflicting_length || !has_supported_coding(head) {
+        return Err(RequestError::Length);
+    }
+    single_header(&head.headers, "req-id")?;
+    let block = parse_block(head)?;
+    let class = parse_class(head, names)?;
+    let plan = parse_plan(head, names)?;
+    let timeout_us = parse_deadline(head)?;
+    let io_info = IoInfo::parse(single_header(&head.headers, "io-info")?);
+    let IoInfo { volume, volume_gateways, shard, units } = io_info.ok_or(RequestError::Header("io-info"))?;
+    Ok(ParsedRequest { class, plan, volume, volume_gateways, block, shard, units, timeout_us })
+}
+
+fn check_method(head: &Parts) -> Result<(), RequestError> {
+    match head.method {
+        Method::GET | Method::PUT => Ok(()),
+        _ => Err(RequestError::Method),
+    }
+}
+
+/// Whether the body's transfer coding is one that the gateway undoes: storage nodes get a plain length. Reads
+/// have no body to send in chunks.
+fn has_supported_coding(head: &Parts) -> bool {
+    let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
+    match (codings.next(), codings.next()) {
+        (None, _) => true,
+        (Some(only), None) => only.as_bytes().eq_ignore_ascii_case(b"chunked") && head.method == Method::PUT,
+        _ => false,
+    }
+}
+
+fn parse_block(head: &Parts) -> Result<BlockId, RequestError> {
+    let last_segment = head.uri.path().rsplit('/').next();
+    last_segment.and_then(parse_hex).map(BlockId).ok_or(RequestError::Block)
+}
+
+fn parse_class(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
+    let name = single_header(&head.headers, "req-kind")?;
+    let class = names.classes.iter().position(|class| class == name).ok_or(RequestError::UnknownClass)?;
+    let is_write = head.method == Method::PUT;
+    if names.writes.get(class).is_some_and(|writes| *writes != is_write) {
+        return Err(RequestError::MethodOfClass);
     }
+    if names.has_idempotency_key.get(class) == Some(&true) {
+        single_header(&head.headers, "idempotency-key")?;
+    }
+    Ok(class)
+}
+
+fn parse_plan(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
+    let name = single_header(&head.headers, "tier")?;
+    names.plans.iter().position(|plan| plan == name).ok_or(RequestError::UnknownPlan)
 }
 
-fn hex(digits: &str) -> Option<u64> {
-    // The parser alone would also take a sign.
-    let plain = digits.len() == 16 && digits.bytes().all(|b| b.is_ascii_hexdigit());
-    plain.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
+fn parse_deadline(head: &Parts) -> Result<u64, RequestError> {
+    let name = "req-deadline";
+    parse_timeout(single_header(&head.headers, name)?).ok_or(RequestError::Header(name))
 }
 
-/// Reads a time such as `480m` (milliseconds) or `480000u` (microseconds).
+/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds) to microseconds; none if it is
+/// malformed.
 pub fn parse_timeout(text: &str) -> Option<u64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let factor = match unit {
@@ -101,61 +168,57 @@
     number.parse::<u64>().ok()?.checked_mul(factor)
 }
 
-/// Reads the head of a client's request, which is `doubled` if it states the length of its body twice.
-pub fn decode(head: &Parts, doubled: bool, names: &NameTable) -> Result<ParsedRequest, RequestError> {
-    if head.method != Method::GET && head.method != Method::PUT {
-        return Err(RequestError::Method);
-    }
-    let headers = &head.headers;
-    // Chunks are undone here, and nodes get a plain length. Reads have no body to send in chunks.
-    let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
-    let plain = match (codings.next(), codings.next()) {
-        (None, _) => true,
-        (Some(only), None) => only.as_bytes().eq_ignore_ascii_case(b"chunked") && head.method == Method::PUT,
-        _ => false,
-    };
-    if doubled || !plain {
-        return Err(RequestError::Length);
-    }
-    text(headers, "req-id")?;
-    let block = head.uri.path().rsplit('/').next().and_then(hex).ok_or(RequestError::Block)?;
-    let kind = text(headers, "req-kind")?;
-    let class = names.classes.iter().position(|c| c == kind).ok_or(RequestError::Class)?;
-    if names.writes.get(class).is_some_and(|writes| *writes != (head.method == Method::PUT)) {
-        return Err(RequestError::Kind);
-    }
-    if names.keyed.get(class) == Some(&true) {
-        text(headers, "idempotency-key")?;
+/// The value of a header that must occur exactly once.
+fn single_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
+    let mut values = headers.get_all(name).iter();
+    match (values.next(), values.next()) {
+        (Some(value), None) => value.to_str().map_err(|_| RequestError::Header(name)),
+        _ => Err(RequestError::Header(name)),
     }
-    let tier = text(headers, "tier")?;
-    let plan = names.plans.iter().position(|p| p == tier).ok_or(RequestError::Plan)?;
-    let timeout_us =
-        parse_timeout(text(headers, "req-deadline")?).ok_or(RequestError::Header("req-deadline"))?;
-    let bad = RequestError::Header("io-info");
-    let (mut volume, mut units, mut shard, mut hosts) = (None, None, None, None);
-    for (name, value) in text(headers, "io-info")?.split(',').filter_map(|f| f.split_once('=')) {
-        match name.trim() {
-            "volume" => volume = hex(value.trim()),
-            "units" => units = value.trim().parse::<f64>().ok().filter(|u| u.is_finite() && *u > 0.0),
-            "shard" => shard = value.trim().parse::<i64>().ok(),
-            "hosts" => hosts = value.trim().parse::<f64>().ok().filter(|h| h.is_finite() && *h >= 0.0),
-            _ => {}
+}
+
+fn parse_hex(digits: &str) -> Option<u64> {
+    // The parser alone would also accept a sign.
+    let is_plain = digits.len() == HEX_DIGITS && digits.bytes().all(|digit| digit.is_ascii_hexdigit());
+    is_plain.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
+}
+
+/// The fields of the `io-info` header, such as `volume=…, units=2, shard=0, hosts=3`.
+struct IoInfo {
+    volume: VolumeId,
+    volume_gateways: f64,
+    shard: Option<ShardId>,
+    units: f64,
+}
+
+impl IoInfo {
+    /// None if a field is missing or malformed; unknown fields are ignored.
+    fn parse(text: &str) -> Option<IoInfo> {
+        let (mut volume, mut volume_gateways, mut shard, mut units) = (None, None, None, None);
+        for (name, value) in text.split(',').filter_map(|field| field.split_once('=')) {
+            let value = value.trim();
+            match name.trim() {
+                "volume" => volume = parse_hex(value),
+                "units" => units = parse_finite(value).filter(|units| *units > 0.0),
+                "shard" => shard = value.parse::<i64>().ok(),
+                "hosts" => volume_gateways = parse_finite(value).filter(|gateways| *gateways >= 0.0),
+                _ => {}
+            }
         }
+        let shard = match shard? {
+            // A new object, which no shard holds yet.
+            ..=-1 => None,
+            number => Some(ShardId(u32::try_from(number).ok()?)),
+        };
+        Some(IoInfo { volume: VolumeId(volume?), volume_gateways: volume_gateways?, shard, units: units? })
     }
-    let shard = shard.ok_or(bad)?;
-    Ok(ParsedRequest {
-        class,
-        plan,
-        volume: VolumeId(volume.ok_or(bad)?),
-        volume_gateways: hosts.ok_or(bad)?,
-        block: BlockId(block),
-        shard: if shard < 0 { None } else { Some(ShardId(u32::try_from(shard).map_err(|_| bad)?)) },
-        units: units.ok_or(bad)?,
-        timeout_us,
-    })
-}
-
-/// A client's request, kept to be passed on.
+}
+
+fn parse_finite(text: &str) -> Option<f64> {
+    text.parse::<f64>().ok().filter(|number| number.is_finite())
+}
+
+/// A client's request, kept to be forwarded to storage nodes.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
     /// Its head.
@@ -164,38 +227,42 @@
     pub body: Bytes,
 }
 
-/// A request to a storage node: method, path, query, body and ids unchanged, with the time that the
-/// gateway itself will wait.
-pub fn encode(passed: &ForwardedRequest, left: Duration) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(passed.body.clone()));
-    *request.method_mut() = passed.head.method.clone();
-    *request.uri_mut() = passed.head.uri.clone();
+/// Encodes a request to a storage node: method, path, query, body and ids are the client's, the deadline is
+/// the time that the gateway will still wait.
+pub fn encode(forwarded: &ForwardedRequest, remaining: Duration) -> Request<Full<Bytes>> {
+    let ForwardedRequest { head, body } = forwarded;
+    let mut request = Request::new(Full::new(body.clone()));
+    *request.method_mut() = head.method.clone();
+    *request.uri_mut() = head.uri.clone();
     let headers = request.headers_mut();
-    for name in ["host", "req-id", "req-kind", "tier", "io-info", "idempotency-key", "req-retry"] {
-        if let Some(value) = passed.head.headers.get(name) {
+    for name in FORWARDED_HEADERS {
+        if let Some(value) = head.headers.get(name) {
             headers.insert(name, value.clone());
         }
     }
     if !headers.contains_key(HOST) {
-        headers.insert(HOST, HeaderValue::from_static("origin.svc"));
+        headers.insert(HOST, DEFAULT_HOST);
     }
-    let left = format!("{}u", left.as_micros());
-    headers.insert("req-deadline", left.try_into().expect("digits are a valid header value"));
-    if passed.head.method != Method::GET || !passed.body.is_empty() {
-        headers.insert(CONTENT_LENGTH, passed.body.len().into());
+    let deadline = format!("{}u", remaining.as_micros());
+    headers.insert("req-deadline", deadline.try_into().expect("digits are a valid header value"));
+    if head.method != Method::GET || !body.is_empty() {
+        headers.insert(CONTENT_LENGTH, body.len().into());
     }
     request
 }
 
-/// An answer to a client.
+/// Encodes a response to a client, with a `Retry-After` if one is given, in microseconds.
 pub fn response(status: StatusCode, body: impl Into<Bytes>, retry_after_us: Option<u64>) -> Response<Bytes> {
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
     if let Some(retry_after_us) = retry_after_us {
-        // Clients may read whole or decimal seconds; less than a millisecond is no advice.
-        let seconds = format!("{:.3}", retry_after_us.max(1_000) as f64 / 1e6);
-        let value = seconds.try_into().expect("digits are a valid header value");
-        response.headers_mut().insert("retry-after", value);
+        response.headers_mut().insert("retry-after", encode_retry_after(retry_after_us));
     }
     response
 }
+
+/// Seconds with three decimals, which the platform's clients read.
+fn encode_retry_after(retry_after_us: u64) -> HeaderValue {
+    let seconds = retry_after_us.max(MIN_RETRY_AFTER_US) as f64 / 1e6;
+    format!("{seconds:.3}").try_into().expect("digits are a valid header value")
+}
