--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory.rs
@@ -27,7 +27,7 @@
 /// Reads an inventory file.
 pub fn read(path: &std::path::Path) -> Result<Vec<InventoryNode>, ReloadError> {
     let name = path.display().to_string();
-    let Some(format) = Format::of(path) else { return Err(ReloadError::Format(name)) };
+    let Some(format) = Format::from_path(path) else { return Err(ReloadError::Format(name)) };
     match std::fs::read_to_string(path) {
         Ok(text) => inventory::decode(&text, format).map_err(|e| ReloadError::Wrong(name, e)),
         Err(e) => Err(ReloadError::Unreadable(name, e)),
@@ -112,7 +112,7 @@
         let endpoint = |h: &InventoryNode| EndpointRecord {
             name: h.name.clone(),
             address: h.address,
-            zone: h.room.clone(),
+            zone: h.zone.clone(),
             shard: self.racks.shard(&h.rack),
             state: state(h, drained),
             started_at_us: h.started_at_us,
@@ -134,7 +134,7 @@
     NodeView {
         name: host.name.clone(),
         address: host.address.to_string(),
-        room: host.room.clone(),
+        zone: host.zone.clone(),
         rack: host.rack.clone(),
         state: match state(host, drained) {
             EndpointState::Ready => "ready",
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -281,7 +281,7 @@
     let connect = Duration::from_micros(operator.settings.connect_timeout_us);
     let sockets = operator.sockets.saturating_sub(ADMIN.served + ADMIN.rejected);
     let (limits, pools) = share(sockets, connect, operator.idle);
-    let rooms: std::collections::BTreeSet<String> = operator.hosts.iter().map(|h| h.room.clone()).collect();
+    let rooms: std::collections::BTreeSet<String> = operator.hosts.iter().map(|h| h.zone.clone()).collect();
     let nodes = NodeRegistry::new(pools, rooms.into_iter().collect());
     let racks = RackRegistry::default();
     let (core, router) =
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,5 +1,5 @@
 use crate::protocol::admin::{TenantDefinition, TenantView};
-use crate::protocol::inventory::plain_name;
+use crate::protocol::inventory::is_plain_name;
 use crate::protocol::object::bucket_allowed;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
@@ -93,7 +93,7 @@
         if let Some(volume) = volumes.iter().find(bad) {
             return wrong(format!("'{volume}' is not allowed as a volume's name"));
         }
-        if racks.is_empty() || !racks.iter().all(|r| plain_name(r)) {
+        if racks.is_empty() || !racks.iter().all(|r| is_plain_name(r)) {
             return wrong("racks must name one rack or more".into());
         }
         let Some(token) = decode_hash(&token_sha256) else {
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -96,8 +96,9 @@
     pub name: String,
     /// Its address.
     pub address: String,
-    /// Its room.
-    pub room: String,
+    /// Its zone.
+    #[serde(rename = "room")]
+    pub zone: String,
     /// Its rack.
     pub rack: String,
     /// `ready`, `draining` or `gone`.
--- /dev/null
+++ b/src/protocol/inventory/csv.rs
@@ -0,0 +1,52 @@
+//! Inventories as comma-separated values.
+
+use super::{Field, Fields, InventoryError, Row};
+
+/// The columns that every file must have.
+const REQUIRED_COLUMNS: [&str; 3] = ["name", "address", "rack"];
+
+/// Decodes the rows of a file. Empty cells count as missing, and unknown columns are ignored.
+///
+/// # Errors
+///
+/// Where columns are missing, or at the first row that is malformed.
+pub fn decode_rows(text: &str) -> Result<Vec<Row>, Vec<InventoryError>> {
+    let mut reader =
+        csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
+    let header = reader.headers().map_err(malformed)?.clone();
+    check_columns(&header)?;
+    reader
+        .records()
+        .map(|record| record.map(|record| decode_row(&header, &record)).map_err(malformed))
+        .collect()
+}
+
+fn check_columns(header: &csv::StringRecord) -> Result<(), Vec<InventoryError>> {
+    let is_missing = |column: &&str| !header.iter().any(|present| present == *column);
+    let errors: Vec<_> = REQUIRED_COLUMNS
+        .into_iter()
+        .filter(is_missing)
+        .map(|column| InventoryError::new(1, column, "the header has no such column"))
+        .collect();
+    if errors.is_empty() { Ok(()) } else { Err(errors) }
+}
+
+fn decode_row(header: &csv::StringRecord, record: &csv::StringRecord) -> Row {
+    let line = line_of(record.position());
+    let mut fields: Fields = header
+        .iter()
+        .zip(record)
+        .filter(|(_, value)| !value.is_empty())
+        .map(|(column, value)| (column.to_owned(), Field { value: value.to_owned(), line }))
+        .collect();
+    let name = fields.remove("name").map_or(String::new(), |field| field.value);
+    Row { name, line, fields }
+}
+
+fn malformed(error: csv::Error) -> Vec<InventoryError> {
+    vec![InventoryError::new(line_of(error.position()), "row", error.to_string())]
+}
+
+fn line_of(position: Option<&csv::Position>) -> usize {
+    position.map_or(1, |position| position.line() as usize)
+}
--- /dev/null
+++ b/src/protocol/inventory/validation.rs
@@ -0,0 +1,128 @@
+//! What every inventory must satisfy, in whatever format it is written.
+
+use super::{Field, InventoryError, InventoryNode, Row};
+use crate::protocol::endpoint_list::LATEST_MS;
+use crate::scheduler::EndpointState;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// The longest name, in bytes.
+const MAX_NAME_LEN: usize = 64;
+
+/// Whether a name can stand unescaped in paths, ids and log lines.
+pub fn is_plain_name(name: &str) -> bool {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    (1..=MAX_NAME_LEN).contains(&name.len()) && name.bytes().all(is_plain)
+}
+
+/// Validates the rows of a file.
+///
+/// # Errors
+///
+/// Where the file names no node, or any node is not valid: then the faults of all nodes are listed.
+pub fn validate(rows: Vec<Row>) -> Result<Vec<InventoryNode>, Vec<InventoryError>> {
+    let mut validator = Validator::default();
+    if rows.is_empty() {
+        validator.errors.push(InventoryError::new(1, "hosts", "the inventory names no host"));
+    }
+    let nodes = rows.iter().filter_map(|row| validator.validate_node(row)).collect();
+    if validator.errors.is_empty() { Ok(nodes) } else { Err(validator.errors) }
+}
+
+/// What the rows so far have named, and their faults.
+#[derive(Default)]
+struct Validator {
+    names: BTreeSet<String>,
+    addresses: BTreeSet<SocketAddr>,
+    errors: Vec<InventoryError>,
+}
+
+impl Validator {
+    /// None if the node is not valid. All fields are checked, so that all faults are reported at once.
+    fn validate_node(&mut self, row: &Row) -> Option<InventoryNode> {
+        let name = self.validate_name(row);
+        let name = self.record_error(name);
+        let address = self.validate_address(row);
+        let address = self.record_error(address);
+        let rack = self.record_error(validate_rack(row));
+        let state = self.record_error(validate_state(row));
+        let started_at_us = self.record_error(validate_start(row));
+        Some(InventoryNode {
+            name: name?,
+            address: address?,
+            zone: field(row, "room").value,
+            rack: rack?,
+            state: state?,
+            started_at_us: started_at_us?,
+        })
+    }
+
+    fn record_error<T>(&mut self, result: Result<T, InventoryError>) -> Option<T> {
+        result.map_err(|error| self.errors.push(error)).ok()
+    }
+
+    fn validate_name(&mut self, row: &Row) -> Result<String, InventoryError> {
+        let name = &row.name;
+        if !is_plain_name(name) {
+            return Err(InventoryError::new(row.line, "name", format!("'{name}' is not a plain name")));
+        }
+        if !self.names.insert(name.clone()) {
+            return Err(InventoryError::new(row.line, "name", format!("'{name}' is there twice")));
+        }
+        Ok(name.clone())
+    }
+
+    fn validate_address(&mut self, row: &Row) -> Result<SocketAddr, InventoryError> {
+        let Field { value, line } = field(row, "address");
+        let Some(address) = value.parse::<SocketAddr>().ok().filter(|address| address.port() != 0) else {
+            let message = format!("'{value}' is not an IP address and port");
+            return Err(InventoryError::new(line, "address", message));
+        };
+        if !self.addresses.insert(address) {
+            return Err(InventoryError::new(line, "address", format!("'{address}' is there twice")));
+        }
+        Ok(address)
+    }
+}
+
+fn validate_rack(row: &Row) -> Result<String, InventoryError> {
+    let Field { value: rack, line } = field(row, "rack");
+    if !is_plain_name(&rack) {
+        return Err(InventoryError::new(line, "rack", format!("'{rack}' is not a plain name")));
+    }
+    Ok(rack)
+}
+
+fn validate_state(row: &Row) -> Result<EndpointState, InventoryError> {
+    let Field { value, line } = field(row, "state");
+    match value.as_str() {
+        "" | "ready" => Ok(EndpointState::Ready),
+        "draining" => Ok(EndpointState::Draining),
+        "gone" => Ok(EndpointState::Removed),
+        other => {
+            let message = format!("'{other}' is not ready, draining or gone");
+            Err(InventoryError::new(line, "state", message))
+        }
+    }
+}
+
+/// When the node's process last started, in Unix time and microseconds; none if the file states 0 or nothing.
+fn validate_start(row: &Row) -> Result<Option<u64>, InventoryError> {
+    let Field { value, line } = field(row, "since_ms");
+    if value.is_empty() {
+        return Ok(None);
+    }
+    match value.parse::<u64>() {
+        Ok(since_ms) if since_ms <= LATEST_MS => Ok((since_ms > 0).then_some(since_ms * 1_000)),
+        _ => {
+            let message = format!("'{value}' is not a time in milliseconds");
+            Err(InventoryError::new(line, "since_ms", message))
+        }
+    }
+}
+
+/// The field with this name; an empty one at the row's line if it is missing.
+fn field(row: &Row, name: &str) -> Field {
+    let missing = || Field { value: String::new(), line: row.line };
+    row.fields.get(name).cloned().unwrap_or_else(missing)
+}
--- /dev/null
+++ b/src/protocol/inventory/yaml.rs
@@ -0,0 +1,151 @@
+//! Inventories as Ansible writes them: groups with hosts, vars and children.
+
+use super::{Field, Fields, InventoryError, Row};
+use saphyr::{LoadableYamlNode, MarkedYaml, Scalar, YamlData};
+use std::collections::BTreeMap;
+use std::net::IpAddr;
+
+/// The keys that a group may have.
+const GROUP_KEYS: [&str; 3] = ["hosts", "vars", "children"];
+
+/// Decodes the hosts of a file, in order of their names.
+///
+/// # Errors
+///
+/// At the first place that is malformed.
+pub fn decode_rows(text: &str) -> Result<Vec<Row>, InventoryError> {
+    let documents = MarkedYaml::load_from_str(text)
+        .map_err(|error| InventoryError::new(error.marker().line(), "document", error.to_string()))?;
+    let mut memberships = Vec::new();
+    for document in &documents {
+        for group in decode_mapping(document, "document")? {
+            collect_memberships(&group, 0, &Fields::new(), &mut memberships)?;
+        }
+    }
+    Ok(merge_memberships(memberships).into_values().map(with_address).collect())
+}
+
+/// A host's entry in one group.
+struct Membership {
+    /// How deep the group is nested.
+    depth: usize,
+    host: String,
+    line: usize,
+    /// The variables of the group and of those around it.
+    inherited: Fields,
+    /// The host's own variables.
+    own: Fields,
+}
+
+fn collect_memberships(
+    group: &Entry,
+    depth: usize,
+    inherited: &Fields,
+    memberships: &mut Vec<Membership>,
+) -> Result<(), InventoryError> {
+    let parts = decode_mapping(group.value, &group.name)?;
+    check_group_keys(&group.name, &parts)?;
+    let part = |key: &str| parts.iter().find(|part| part.name == key).map(|part| part.value);
+    let mut inherited = inherited.clone();
+    if let Some(vars) = part("vars") {
+        inherited.extend(decode_vars(vars, "vars")?);
+    }
+    if let Some(hosts) = part("hosts") {
+        for Entry { name: host, line, value } in decode_mapping(hosts, "hosts")? {
+            let own = decode_vars(value, &host)?;
+            memberships.push(Membership { depth, host, line, inherited: inherited.clone(), own });
+        }
+    }
+    if let Some(children) = part("children") {
+        for child in decode_mapping(children, "children")? {
+            collect_memberships(&child, depth + 1, &inherited, memberships)?;
+        }
+    }
+    Ok(())
+}
+
+fn check_group_keys(group: &str, parts: &[Entry]) -> Result<(), InventoryError> {
+    match parts.iter().find(|part| !GROUP_KEYS.contains(&part.name.as_str())) {
+        Some(unknown) => {
+            let message = format!("group {group} may have hosts, vars and children only");
+            Err(InventoryError::new(unknown.line, &unknown.name, message))
+        }
+        None => Ok(()),
+    }
+}
+
+/// Merges the memberships of each host. Variables of deeper groups take precedence over those of shallower
+/// ones, and the host's own over all.
+fn merge_memberships(mut memberships: Vec<Membership>) -> BTreeMap<String, Row> {
+    let mut rows: BTreeMap<String, Row> = BTreeMap::new();
+    memberships.sort_by_key(|membership| membership.depth);
+    for membership in &memberships {
+        let row = rows.entry(membership.host.clone()).or_insert_with(|| Row {
+            name: membership.host.clone(),
+            line: membership.line,
+            fields: Fields::new(),
+        });
+        row.fields.extend(membership.inherited.clone());
+    }
+    for membership in memberships {
+        rows.entry(membership.host).or_default().fields.extend(membership.own);
+    }
+    rows
+}
+
+/// Sets the address from Ansible's separate variables for host and port, unless it is stated itself.
+fn with_address(mut row: Row) -> Row {
+    let field = |name: &str| row.fields.get(name).cloned();
+    if let (None, Some(host), Some(port)) = (field("address"), field("ansible_host"), field("port")) {
+        let value = match host.value.parse::<IpAddr>() {
+            Ok(IpAddr::V6(ip)) => format!("[{ip}]:{}", port.value),
+            _ => format!("{}:{}", host.value, port.value),
+        };
+        row.fields.insert("address".into(), Field { value, line: host.line });
+    }
+    row
+}
+
+/// An entry of a mapping.
+struct Entry<'a> {
+    name: String,
+    line: usize,
+    value: &'a MarkedYaml<'a>,
+}
+
+/// The entries of a mapping; a null counts as an empty one.
+fn decode_mapping<'a>(node: &'a MarkedYaml<'a>, field: &str) -> Result<Vec<Entry<'a>>, InventoryError> {
+    match &node.data {
+        YamlData::Mapping(map) => map.iter().map(|(key, value)| decode_entry(key, value, field)).collect(),
+        YamlData::Value(Scalar::Null) => Ok(Vec::new()),
+        _ => Err(InventoryError::new(node.span.start.line(), field, "must be a mapping")),
+    }
+}
+
+fn decode_entry<'a>(
+    key: &'a MarkedYaml<'a>,
+    value: &'a MarkedYaml<'a>,
+    field: &str,
+) -> Result<Entry<'a>, InventoryError> {
+    let line = key.span.start.line();
+    let name =
+        decode_scalar(key).ok_or_else(|| InventoryError::new(line, field, "a name must be plain text"))?;
+    Ok(Entry { name, line, value })
+}
+
+/// The variables of a group or host; those that are not scalars belong to other tools and are ignored.
+fn decode_vars(node: &MarkedYaml, field: &str) -> Result<Fields, InventoryError> {
+    let to_field =
+        |Entry { name, line, value }: Entry| Some((name, Field { value: decode_scalar(value)?, line }));
+    Ok(decode_mapping(node, field)?.into_iter().filter_map(to_field).collect())
+}
+
+fn decode_scalar(node: &MarkedYaml) -> Option<String> {
+    match &node.data {
+        YamlData::Value(Scalar::String(text)) => Some(text.to_string()),
+        YamlData::Value(Scalar::Integer(number)) => Some(number.to_string()),
+        YamlData::Value(Scalar::FloatingPoint(number)) => Some(number.to_string()),
+        YamlData::Value(Scalar::Boolean(truth)) => Some(truth.to_string()),
+        _ => None,
+    }
+}
