--- a/examples/toy-node.rs
+++ b/examples/toy-node.rs
@@ -104,20 +104,20 @@
                 self.objects.remove(path);
                 Ok((StatusCode::NO_CONTENT, String::new(), None))
             }
-            Operation::Initiate => {
+            Operation::InitiateUpload => {
                 self.begun += 1;
                 let id = format!("toy-{}", self.begun);
                 self.uploads.insert(id.clone(), BTreeMap::new());
                 Ok((StatusCode::OK, object::encode_initiated("", "", &id), None))
             }
-            Operation::Part(id, number) => {
-                let parts = self.uploads.get_mut(&id).ok_or_else(ApiError::no_upload)?;
+            Operation::UploadPart { upload_id: id, number } => {
+                let parts = self.uploads.get_mut(&id).ok_or_else(ApiError::no_such_upload)?;
                 let etag = sent.etag.clone();
                 parts.insert(number, sent);
                 ok(etag)
             }
-            Operation::Complete(id) => {
-                let parts = self.uploads.get(&id).ok_or_else(ApiError::no_upload)?;
+            Operation::CompleteUpload { upload_id: id } => {
+                let parts = self.uploads.get(&id).ok_or_else(ApiError::no_such_upload)?;
                 let mut bytes = Vec::new();
                 for named in object::decode_complete(&sent.bytes)? {
                     let stored = parts.get(&named.number).filter(|p| p.etag == named.etag);
@@ -130,23 +130,23 @@
                 self.objects.insert(path.into(), assembled);
                 Ok((StatusCode::OK, object::encode_completed("", "", "", &etag), Some(etag)))
             }
-            Operation::Abort(id) => {
-                self.uploads.remove(&id).ok_or_else(ApiError::no_upload)?;
+            Operation::AbortUpload { upload_id: id } => {
+                self.uploads.remove(&id).ok_or_else(ApiError::no_such_upload)?;
                 Ok((StatusCode::NO_CONTENT, String::new(), None))
             }
-            Operation::Read { .. } | Operation::ListParts(..) => unreachable!("reads change nothing"),
+            Operation::Read { .. } | Operation::ListParts { .. } => unreachable!("reads change nothing"),
         }
     }
 
     fn list(&self, id: &str) -> Result<Response<ResponseBody>, ApiError> {
-        let parts = self.uploads.get(id).ok_or_else(ApiError::no_upload)?;
+        let parts = self.uploads.get(id).ok_or_else(ApiError::no_such_upload)?;
         let listed = |(number, part): (&u32, &Object)| ListedPart {
             number: *number,
             modified: None,
             etag: part.etag.clone(),
             size: part.bytes.len() as u64,
         };
-        let listing = Listing::of(parts.iter().map(listed).collect());
+        let listing = Listing::new(parts.iter().map(listed).collect());
         Ok(answer(StatusCode::OK, object::encode_listing(listing, "", "", id)))
     }
 }
@@ -157,12 +157,13 @@
 ) -> Result<Response<ResponseBody>, ApiError> {
     let (head, body) = request.into_parts();
     let ask = object::decode(&head)?;
-    let bytes = body.collect().await.map_err(|_| ApiError::invalid("The body broke off."))?.to_bytes();
+    let bytes =
+        body.collect().await.map_err(|_| ApiError::invalid_argument("The body broke off."))?.to_bytes();
     let path = head.uri.path();
     println!("{} {}", head.method, head.uri);
     match ask.operation {
         Operation::Read { head, range } => store.borrow().read(path, head, range),
-        Operation::ListParts(id, _) => store.borrow().list(&id),
+        Operation::ListParts { upload_id: id, .. } => store.borrow().list(&id),
         operation => {
             let key = head.headers.get("idempotency-key").and_then(|k| k.to_str().ok()).unwrap_or("");
             let before = store.borrow().answered.get(key).cloned();
--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -60,8 +60,8 @@
         }
         let ask = match admin::decode(request.method().as_str(), request.uri().path()) {
             Ok(ask) => ask,
-            Err(AdminRequestError::Path) => return error(StatusCode::NOT_FOUND, "no such path"),
-            Err(AdminRequestError::Method) => {
+            Err(AdminRequestError::UnknownPath) => return error(StatusCode::NOT_FOUND, "no such path"),
+            Err(AdminRequestError::MethodNotAllowed) => {
                 return error(StatusCode::METHOD_NOT_ALLOWED, "no such method here");
             }
         };
--- a/src/gateway/config/object.rs
+++ b/src/gateway/config/object.rs
@@ -209,7 +209,7 @@
         let secret = folder.join(&o.upload_secret_file);
         let secret = std::fs::read(&secret).map_err(|e| format!("{}: {e}", secret.display()))?;
         let key = UploadKey::new(secret.trim_ascii())
-            .ok_or(format!("the upload secret needs {} bytes or more", UploadKey::LEAST))?;
+            .ok_or(format!("the upload secret needs {} bytes or more", UploadKey::MIN_SECRET_LEN))?;
         let path = folder.join(&text.inventory.file);
         let hosts = inventory::read(&path).map_err(|e| e.to_string())?;
         let plans = text.plan.iter().map(|p| p.name.clone()).collect();
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -6,7 +6,7 @@
 use crate::protocol::client_request;
 use crate::protocol::node_response::{self, NodeResponseHead};
 use crate::protocol::object::{
-    self, ApiError, NodeRequest, ObjectRequest, Operation, Upload, UploadKey, header_value,
+    self, ApiError, NodeRequest, ObjectPath, ObjectRequest, Operation, Upload, UploadKey, header_value,
 };
 use crate::routing::{Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, RouterHandle};
 use crate::scheduler::{AttemptOutcome, BlockId, IncomingRequest, RequestId, VolumeId};
@@ -157,25 +157,30 @@
             self.metrics.bad_requests.increment();
             plain(fault)
         };
-        let tenant = tenant.ok_or_else(|| bad(ApiError::denied()))?;
+        let tenant = tenant.ok_or_else(|| bad(ApiError::access_denied()))?;
         let ask = object::decode(&head).map_err(bad)?;
         if !tenant.volumes.contains(&ask.bucket) {
-            return Err(plain(ApiError::no_bucket()));
+            return Err(plain(ApiError::no_such_bucket()));
         }
-        let place = [tenant.name.as_str(), &ask.bucket, &ask.key];
-        let upload = match ask.operation.upload() {
-            Some(token) => Some(self.key.verify(place, token).ok_or_else(|| plain(ApiError::no_upload()))?),
+        let path = ObjectPath { tenant: &tenant.name, bucket: &ask.bucket, key: &ask.key };
+        let upload = match ask.operation.upload_id() {
+            Some(token) => {
+                Some(self.key.verify(path, token).ok_or_else(|| plain(ApiError::no_such_upload()))?)
+            }
             None => None,
         };
         // An upload stays on the rack where it began, even if the tenant's racks have changed since.
         let rack = match &upload {
             Some(upload) => upload.rack.clone(),
-            None => tenant.rack(&ask.bucket, &ask.key).cloned().ok_or_else(|| plain(ApiError::failed()))?,
+            None => tenant
+                .rack(&ask.bucket, &ask.key)
+                .cloned()
+                .ok_or_else(|| plain(ApiError::internal_error()))?,
         };
         let room = self.room(&ask)?;
         let body = self.body(&ask, body).await?;
         let body = match ask.operation {
-            Operation::Complete(_) => {
+            Operation::CompleteUpload { .. } => {
                 object::encode_complete(object::decode_complete(&body).map_err(bad)?).into()
             }
             _ => body,
@@ -191,7 +196,7 @@
         let arrival = self.arrival(&ask, &tenant, &rack, &head, &sending.body, came)?;
         let answer = self.router.submit(arrival, Payload { sending, _room: room.clone() }).await;
         let response = match answer {
-            FinalAnswer::Served(Reply::Whole(reply)) => self.whole(reply, &ask, place, rack)?,
+            FinalAnswer::Served(Reply::Whole(reply)) => self.whole(reply, &ask, path, rack)?,
             FinalAnswer::Served(Reply::Streamed(reply)) => {
                 let (from, body) = reply.into_parts();
                 let mut response = Response::new(body.boxed_unsync());
@@ -200,7 +205,7 @@
                 response
             }
             FinalAnswer::Rejected { retry_after_us } => return Err((ApiError::slow_down(), retry_after_us)),
-            FinalAnswer::Failed => return Err(plain(ApiError::failed())),
+            FinalAnswer::Failed => return Err(plain(ApiError::internal_error())),
         };
         Ok(response.map(|body| GuardedBody(body, room).boxed()))
     }
@@ -219,7 +224,7 @@
                 let length = ask.length.ok_or_else(|| plain(needs()))?;
                 if length > self.limits.body_most {
                     self.metrics.bodies_too_large.increment();
-                    return Err(plain(ApiError::too_large()));
+                    return Err(plain(ApiError::entity_too_large()));
                 }
                 length
             }
@@ -272,7 +277,7 @@
             .map(|v| v.to_str().ok().and_then(client_request::parse_timeout))
         {
             Some(Some(wait)) => came + wait.min(self.limits.deadlines[class]),
-            Some(None) => return Err(plain(ApiError::invalid("Req-Deadline is malformed."))),
+            Some(None) => return Err(plain(ApiError::invalid_argument("Req-Deadline is malformed."))),
             None => u64::MAX,
         };
         let length = match &ask.operation {
@@ -298,7 +303,7 @@
     }
 
     /// The client's answer from a storage node's, under the names that the client knows.
-    fn whole(&self, reply: Response<Bytes>, ask: &ObjectRequest, place: [&str; 3], rack: String) -> Served {
+    fn whole(&self, reply: Response<Bytes>, ask: &ObjectRequest, path: ObjectPath, rack: String) -> Served {
         let (from, body) = reply.into_parts();
         if from.status.is_client_error() {
             let (code, message) = object::decode_error(&body).unwrap_or_else(|| {
@@ -310,13 +315,13 @@
             fault.headers.remove(CONTENT_LENGTH);
             return Err(plain(fault));
         }
-        let [_, bucket, key] = place;
+        let ObjectPath { bucket, key, .. } = path;
         let text = match &ask.operation {
-            Operation::Initiate => object::decode_initiated(&body).map(|node_id| {
-                let upload = self.key.sign(place, &Upload { rack, node_id });
+            Operation::InitiateUpload => object::decode_initiated(&body).map(|node_id| {
+                let upload = self.key.sign(path, &Upload { rack, node_id });
                 object::encode_initiated(bucket, key, &upload)
             }),
-            Operation::Complete(_) => match object::decode_completed(&body) {
+            Operation::CompleteUpload { .. } => match object::decode_completed(&body) {
                 Some(etag) => Some(object::encode_completed(&format!("/{bucket}/{key}"), bucket, key, &etag)),
                 // S3 may begin a completion with 200 and end it with an error.
                 None => match object::decode_error(&body) {
@@ -327,7 +332,7 @@
                     None => None,
                 },
             },
-            Operation::ListParts(upload, _) => {
+            Operation::ListParts { upload_id: upload, .. } => {
                 object::decode_listing(&body).map(|l| object::encode_listing(l, bucket, key, upload))
             }
             _ => {
@@ -337,7 +342,7 @@
                 return Ok(response);
             }
         };
-        let Some(text) = text else { return Err(plain(ApiError::failed())) };
+        let Some(text) = text else { return Err(plain(ApiError::internal_error())) };
         let mut response = Response::new(full_body(text));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
         Ok(response)
@@ -350,8 +355,8 @@
     let given = head.headers.get("idempotency-key").and_then(|v| v.to_str().ok());
     let told = match (&ask.operation, given) {
         (_, Some(given)) => format!("given {given}"),
-        (Operation::Part(upload, number), None) => format!("part {upload} {number}"),
-        (Operation::Complete(upload), None) => format!("complete {upload}"),
+        (Operation::UploadPart { upload_id: upload, number }, None) => format!("part {upload} {number}"),
+        (Operation::CompleteUpload { upload_id: upload }, None) => format!("complete {upload}"),
         _ => format!("request {id}"),
     };
     let mut hash = sha2::Sha256::default();
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,6 +1,6 @@
 use crate::protocol::admin::{TenantDefinition, TenantView};
 use crate::protocol::inventory::is_plain_name;
-use crate::protocol::object::bucket_allowed;
+use crate::protocol::object::is_valid_bucket_name;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
         let Some(plan) = self.plans.iter().position(|p| *p == plan) else {
             return wrong(format!("unknown plan '{plan}'"));
         };
-        let bad = |v: &&String| !bucket_allowed(v) || RESERVED.contains(&v.as_str());
+        let bad = |v: &&String| !is_valid_bucket_name(v) || RESERVED.contains(&v.as_str());
         if let Some(volume) = volumes.iter().find(bad) {
             return wrong(format!("'{volume}' is not allowed as a volume's name"));
         }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -2,64 +2,76 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is asked of the administration.
+/// An operation of the administration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminRequest {
-    /// Whether the gateway serves.
+    /// Report whether the gateway serves.
     Health,
-    /// The counters.
+    /// Report the counters.
     Counters,
-    /// All tenants.
+    /// List all tenants.
     Tenants,
-    /// One tenant.
+    /// Show the tenant with this name.
     Tenant(String),
-    /// Set or replace a tenant; its text is in the body.
+    /// Add or replace the tenant with this name; its definition is in the body.
     PutTenant(String),
-    /// Remove a tenant.
+    /// Remove the tenant with this name.
     DeleteTenant(String),
-    /// All storage nodes.
+    /// List all storage nodes.
     Nodes,
-    /// Take a node out of service.
+    /// Drain the storage node with this name.
     Drain(String),
-    /// Put it back as the inventory has it.
+    /// Return the storage node with this name to the state that the inventory states.
     Return(String),
-    /// Read the inventory anew.
+    /// Reload the inventory.
     Reload,
 }
 
-/// Why there is nothing to do.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request names no operation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
-    /// No such path.
-    Path,
-    /// The path is there, the method is not.
-    Method,
+    /// No operation has this path.
+    #[error("no such path")]
+    UnknownPath,
+    /// Operations have this path, but none of them this method.
+    #[error("no such method here")]
+    MethodNotAllowed,
 }
 
-/// Reads method and path.
+/// Decodes the operation from method and path.
+///
+/// # Errors
+///
+/// Where no operation has this path, or none with this path has this method.
 pub fn decode(method: &str, path: &str) -> Result<AdminRequest, AdminRequestError> {
-    let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let name = |n: &str| n.to_string();
-    Ok(match (method, parts.as_slice()) {
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    Ok(match (method, segments.as_slice()) {
         ("GET", ["v1", "health"]) => AdminRequest::Health,
         ("GET", ["v1", "counters"]) => AdminRequest::Counters,
         ("GET", ["v1", "tenants"]) => AdminRequest::Tenants,
-        ("GET", ["v1", "tenants", n]) => AdminRequest::Tenant(name(n)),
-        ("PUT", ["v1", "tenants", n]) => AdminRequest::PutTenant(name(n)),
-        ("DELETE", ["v1", "tenants", n]) => AdminRequest::DeleteTenant(name(n)),
+        ("GET", ["v1", "tenants", name]) => AdminRequest::Tenant(name.to_string()),
+        ("PUT", ["v1", "tenants", name]) => AdminRequest::PutTenant(name.to_string()),
+        ("DELETE", ["v1", "tenants", name]) => AdminRequest::DeleteTenant(name.to_string()),
         ("GET", ["v1", "nodes"]) => AdminRequest::Nodes,
-        ("POST", ["v1", "nodes", n, "drain"]) => AdminRequest::Drain(name(n)),
-        ("POST", ["v1", "nodes", n, "return"]) => AdminRequest::Return(name(n)),
+        ("POST", ["v1", "nodes", name, "drain"]) => AdminRequest::Drain(name.to_string()),
+        ("POST", ["v1", "nodes", name, "return"]) => AdminRequest::Return(name.to_string()),
         ("POST", ["v1", "inventory", "reload"]) => AdminRequest::Reload,
-        (_, ["v1", "health" | "counters" | "tenants" | "nodes"])
-        | (_, ["v1", "tenants", _])
-        | (_, ["v1", "nodes", _, "drain" | "return"])
-        | (_, ["v1", "inventory", "reload"]) => return Err(AdminRequestError::Method),
-        _ => return Err(AdminRequestError::Path),
+        (_, segments) if is_known_path(segments) => return Err(AdminRequestError::MethodNotAllowed),
+        _ => return Err(AdminRequestError::UnknownPath),
     })
 }
 
-/// A tenant as an operator writes it, in the configuration and to the administration alike.
+fn is_known_path(segments: &[&str]) -> bool {
+    matches!(
+        segments,
+        ["v1", "health" | "counters" | "tenants" | "nodes"]
+            | ["v1", "tenants", _]
+            | ["v1", "nodes", _, "drain" | "return"]
+            | ["v1", "inventory", "reload"]
+    )
+}
+
+/// A tenant as an operator defines it, in the configuration and in requests to the administration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDefinition {
@@ -72,24 +84,24 @@
     pub volumes: Vec<String>,
     /// The racks that hold its objects.
     pub racks: Vec<String>,
-    /// The SHA-256 of its token, in hex. The token itself is never kept.
+    /// The SHA-256 of its token, in hex. The token itself is never stored.
     pub token_sha256: String,
 }
 
-/// A tenant as the administration tells it: without its token.
+/// A tenant as the administration shows it, without its token.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TenantView {
     /// Its name.
     pub name: String,
-    /// Its plan.
+    /// The plan of its volumes.
     pub plan: String,
     /// Its volumes.
     pub volumes: Vec<String>,
-    /// Its racks.
+    /// The racks that hold its objects.
     pub racks: Vec<String>,
 }
 
-/// A storage node as the administration tells it.
+/// A storage node as the administration shows it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct NodeView {
     /// Its name.
@@ -103,6 +115,6 @@
     pub rack: String,
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// Whether an operator has drained it here.
+    /// Whether an operator has drained it at this gateway.
     pub drained_here: bool,
 }
--- a/src/protocol/object/range.rs
+++ b/src/protocol/object/range.rs
@@ -1,38 +1,38 @@
-/// One range of bytes, as RFC 9110 writes it.
+//! Ranges of bytes, as RFC 9110 writes them in `Range` and `Content-Range`.
+
+#[cfg(test)]
+mod tests;
+
+/// One range of bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ByteRange {
-    /// From the first to the last, both included.
+    /// From the first to the last offset, both included.
     Span(u64, u64),
-    /// From the first to the end.
+    /// From the first offset to the end.
     From(u64),
-    /// So many at the end.
+    /// This many bytes at the end.
     Last(u64),
 }
 
-fn number(text: &str) -> Option<u64> {
-    // The parser alone would also take a sign.
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
-}
-
 impl ByteRange {
-    /// Reads a `Range` header. None where it is malformed or names several ranges: it is then ignored, as
-    /// the RFC allows, and the whole object is the answer.
+    /// Decodes a `Range` header. None where it is malformed or names several ranges: it is then ignored, as
+    /// the RFC allows, and the complete object is the response.
     pub fn decode(text: &str) -> Option<ByteRange> {
-        let (unit, set) = text.split_once('=')?;
+        let (unit, range) = text.split_once('=')?;
         if !unit.trim().eq_ignore_ascii_case("bytes") {
             return None;
         }
-        match set.trim().split_once('-')? {
-            ("", last) => Some(ByteRange::Last(number(last)?)),
-            (first, "") => Some(ByteRange::From(number(first)?)),
+        match range.trim().split_once('-')? {
+            ("", count) => Some(ByteRange::Last(parse_digits(count)?)),
+            (first, "") => Some(ByteRange::From(parse_digits(first)?)),
             (first, last) => {
-                let (first, last) = (number(first)?, number(last)?);
+                let (first, last) = (parse_digits(first)?, parse_digits(last)?);
                 (first <= last).then_some(ByteRange::Span(first, last))
             }
         }
     }
 
-    /// The header's value.
+    /// The value of the `Range` header.
     pub fn encode(&self) -> String {
         match self {
             ByteRange::Span(first, last) => format!("bytes={first}-{last}"),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// How many bytes it asks for at most, where that is told.
+    /// The largest number of bytes in the range, if it sets a bound.
     pub fn max_len(&self) -> Option<u64> {
         match self {
             ByteRange::Span(first, last) => Some((last - first).saturating_add(1)),
@@ -50,60 +50,64 @@
         }
     }
 
-    /// Whether this `Content-Range`, with a body of this length, is what was asked for. Guards against a
-    /// node that answers with other bytes than those that the client will take them for.
-    pub fn matches(&self, told: &str, length: Option<u64>) -> bool {
-        let parts = || {
-            let (span, total) = told.trim().strip_prefix("bytes ")?.split_once('/')?;
-            let (first, last) = span.split_once('-')?;
-            let total = if total == "*" { None } else { Some(number(total)?) };
-            Some((number(first)?, number(last)?, total))
-        };
-        let Some((first, last, total)) = parts() else { return false };
-        let ends = |at: u64| total.is_none_or(|t| at == t.saturating_sub(1));
-        let right = match *self {
+    /// Whether a response with this `Content-Range` and a body of this length contains the range that was
+    /// requested. Guards against a node that sends other bytes than those that the client will take them for.
+    pub fn matches(&self, content_range: &str, content_length: Option<u64>) -> bool {
+        let Some(content) = ContentRange::decode(content_range) else { return false };
+        self.is_answered_by(&content)
+            && content.is_consistent()
+            && content_length.is_none_or(|length| length == content.len())
+    }
+
+    /// Whether the content starts and ends where the range does, or at the object's end.
+    fn is_answered_by(&self, content: &ContentRange) -> bool {
+        let ContentRange { first, last, total } = *content;
+        match *self {
             ByteRange::Span(from, to) => {
-                first == from && (last == to || last < to && total.is_some() && ends(last))
+                let is_cut_short = last < to && total.is_some() && content.reaches_end();
+                first == from && (last == to || is_cut_short)
+            }
+            ByteRange::From(from) => first == from && content.reaches_end(),
+            ByteRange::Last(count) => {
+                let starts_at = |total: u64| first == total.saturating_sub(count);
+                content.reaches_end() && total.is_none_or(starts_at)
             }
-            ByteRange::From(from) => first == from && ends(last),
-            ByteRange::Last(count) => ends(last) && total.is_none_or(|t| first == t.saturating_sub(count)),
-        };
-        let span = (last.wrapping_sub(first)).wrapping_add(1);
-        right && first <= last && total.is_none_or(|t| last < t) && length.is_none_or(|l| l == span)
+        }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::ByteRange::{self, From, Last, Span};
+/// What a `Content-Range` header states.
+struct ContentRange {
+    first: u64,
+    last: u64,
+    /// The size of the object, if stated.
+    total: Option<u64>,
+}
 
-    #[test]
-    fn ranges_are_read_as_the_rfc_writes_them() {
-        let cases = [
-            ("bytes=0-9", Some(Span(0, 9))),
-            ("Bytes=5-", Some(From(5))),
-            ("bytes=-3", Some(Last(3))),
-            ("bytes=9-0", None),
-            ("bytes=0-1,4-5", None),
-            ("bytes=+1-2", None),
-            ("bytes=-", None),
-            ("pages=1-2", None),
-        ];
-        for (text, range) in cases {
-            assert_eq!(ByteRange::decode(text), range, "{text}");
-        }
+impl ContentRange {
+    fn decode(text: &str) -> Option<ContentRange> {
+        let (span, total) = text.trim().strip_prefix("bytes ")?.split_once('/')?;
+        let (first, last) = span.split_once('-')?;
+        let total = if total == "*" { None } else { Some(parse_digits(total)?) };
+        Some(ContentRange { first: parse_digits(first)?, last: parse_digits(last)?, total })
     }
 
-    #[test]
-    fn only_the_part_that_was_asked_for_matches() {
-        assert!(Span(0, 9).matches("bytes 0-9/20", Some(10)));
-        assert!(Span(0, 99).matches("bytes 0-19/20", Some(20)));
-        assert!(Last(5).matches("bytes 15-19/20", None));
-        assert!(Last(50).matches("bytes 0-19/20", None));
-        assert!(From(5).matches("bytes 5-19/20", Some(15)));
-        for told in ["bytes 1-9/20", "bytes 0-8/20", "bytes 0-9/5", "0-9/20", "bytes 0-9/x"] {
-            assert!(!Span(0, 9).matches(told, None), "{told}");
-        }
-        assert!(!Span(0, 9).matches("bytes 0-9/20", Some(9)));
+    /// Whether the range ends where the object does; assumed where the object's size is not stated.
+    fn reaches_end(&self) -> bool {
+        self.total.is_none_or(|total| self.last == total.saturating_sub(1))
+    }
+
+    fn is_consistent(&self) -> bool {
+        self.first <= self.last && self.total.is_none_or(|total| self.last < total)
     }
+
+    /// The number of bytes; meaningful only if the range is consistent.
+    fn len(&self) -> u64 {
+        self.last.wrapping_sub(self.first).wrapping_add(1)
+    }
+}
+
+fn parse_digits(text: &str) -> Option<u64> {
+    // The parser alone would also accept a sign.
+    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
--- a/src/protocol/object/xml.rs
+++ b/src/protocol/object/xml.rs
@@ -1,8 +1,12 @@
-use super::{ApiError, PART_MOST};
+//! The XML bodies of the object API, toward clients and storage nodes.
+
+use super::{ApiError, MAX_PART_NUMBER};
 use serde::{Deserialize, Serialize};
 
+/// What every document begins with.
 const PROLOG: &str = "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n";
-const SPACE: &str = "http://s3.amazonaws.com/doc/2006-03-01/";
+/// S3's namespace, which clients expect.
+const NAMESPACE: &str = "http://s3.amazonaws.com/doc/2006-03-01/";
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -20,7 +24,7 @@
 #[serde(rename_all = "PascalCase")]
 struct WireInitiated {
     #[serde(rename = "@xmlns", default)]
-    space: String,
+    namespace: String,
     bucket: String,
     key: String,
     upload_id: String,
@@ -32,13 +36,13 @@
     parts: Vec<CompletePart>,
 }
 
-/// A part as a client names it to have the upload completed.
+/// A part as a client names it in the request to complete the upload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletePart {
     /// Its number.
     #[serde(rename = "PartNumber")]
     pub number: u32,
-    /// The tag that the part was stored under.
+    /// The entity tag that storing the part returned.
     #[serde(rename = "ETag")]
     pub etag: String,
 }
@@ -47,7 +51,7 @@
 #[serde(rename_all = "PascalCase")]
 struct WireCompleted {
     #[serde(rename = "@xmlns", default)]
-    space: String,
+    namespace: String,
     #[serde(default)]
     location: String,
     bucket: String,
@@ -56,29 +60,29 @@
     etag: String,
 }
 
-/// A part as it is listed.
+/// A part in the list of an upload's parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedPart {
     /// Its number.
     #[serde(rename = "PartNumber")]
     pub number: u32,
-    /// When it was stored.
+    /// When it was stored, if stated.
     #[serde(rename = "LastModified", skip_serializing_if = "Option::is_none")]
     pub modified: Option<String>,
-    /// Its tag.
+    /// Its entity tag.
     #[serde(rename = "ETag")]
     pub etag: String,
-    /// Its size.
+    /// Its size in bytes.
     #[serde(rename = "Size")]
     pub size: u64,
 }
 
-/// The list of an upload's parts.
+/// A page of the list of an upload's parts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Listing {
     #[serde(rename = "@xmlns", default)]
-    space: String,
+    namespace: String,
     /// The bucket.
     pub bucket: String,
     /// The key.
@@ -99,72 +103,83 @@
 }
 
 impl Listing {
-    /// All parts of an upload.
-    pub fn of(parts: Vec<ListedPart>) -> Listing {
+    /// A complete list of parts, for no upload yet.
+    pub fn new(parts: Vec<ListedPart>) -> Listing {
         Listing { parts, ..Listing::default() }
     }
 }
 
 fn encode(root: &str, value: &impl Serialize) -> String {
-    let text = quick_xml::se::to_string_with_root(root, value).expect("text and numbers can be written");
-    format!("{PROLOG}{text}")
+    let document = quick_xml::se::to_string_with_root(root, value).expect("text and numbers can be written");
+    format!("{PROLOG}{document}")
 }
 
 fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Option<T> {
     quick_xml::de::from_str(std::str::from_utf8(body).ok()?).ok()
 }
 
-/// The body of an error answer.
-pub fn encode_error(fault: &ApiError, resource: &str, request_id: &str) -> String {
-    let (code, message) = (fault.code.clone(), fault.message.clone());
-    let wire = WireError { code, message, resource: resource.into(), request_id: request_id.into() };
+/// Encodes the body of an error response.
+pub fn encode_error(error: &ApiError, resource: &str, request_id: &str) -> String {
+    let wire = WireError {
+        code: error.code.clone(),
+        message: error.message.clone(),
+        resource: resource.into(),
+        request_id: request_id.into(),
+    };
     encode("Error", &wire)
 }
 
-/// Code and message of a storage node's error answer.
+/// Decodes code and message of a storage node's error response.
 pub fn decode_error(body: &[u8]) -> Option<(String, String)> {
-    decode::<WireError>(body).map(|e| (e.code, e.message))
+    decode::<WireError>(body).map(|error| (error.code, error.message))
 }
 
-/// The answer to the client that began an upload.
+/// Encodes the response to a client that began an upload.
 pub fn encode_initiated(bucket: &str, key: &str, upload_id: &str) -> String {
-    let (bucket, key, upload_id) = (bucket.into(), key.into(), upload_id.into());
-    encode("InitiateMultipartUploadResult", &WireInitiated { space: SPACE.into(), bucket, key, upload_id })
+    let wire = WireInitiated {
+        namespace: NAMESPACE.into(),
+        bucket: bucket.into(),
+        key: key.into(),
+        upload_id: upload_id.into(),
+    };
+    encode("InitiateMultipartUploadResult", &wire)
 }
 
-/// The storage node's id for an upload that was begun.
+/// Decodes the storage node's id of an upload that was begun.
 pub fn decode_initiated(body: &[u8]) -> Option<String> {
-    decode::<WireInitiated>(body).map(|i| i.upload_id).filter(|id| !id.is_empty())
+    decode::<WireInitiated>(body).map(|initiated| initiated.upload_id).filter(|id| !id.is_empty())
 }
 
-/// Reads which parts a client wants put together.
+/// Decodes the parts that a client wants assembled.
+///
+/// # Errors
+///
+/// Where the XML is malformed, names no part, or names parts out of bounds or order.
 pub fn decode_complete(body: &[u8]) -> Result<Vec<CompletePart>, ApiError> {
-    let wire: WireComplete = decode(body).ok_or_else(ApiError::malformed_xml)?;
-    let numbers = || wire.parts.iter().map(|p| p.number);
-    if wire.parts.is_empty() || numbers().any(|n| !(1..=PART_MOST).contains(&n)) {
+    let WireComplete { parts } = decode(body).ok_or_else(ApiError::malformed_xml)?;
+    if parts.is_empty() || parts.iter().any(|part| !(1..=MAX_PART_NUMBER).contains(&part.number)) {
         return Err(ApiError::malformed_xml());
     }
-    if numbers().zip(numbers().skip(1)).any(|(a, b)| a >= b) {
-        let message = "The parts are not in ascending order.";
-        return Err(ApiError::new(hyper::StatusCode::BAD_REQUEST, "InvalidPartOrder", message));
+    if !parts.is_sorted_by(|part, next| part.number < next.number) {
+        return Err(ApiError::invalid_part_order());
     }
-    Ok(wire.parts)
+    Ok(parts)
 }
 
-/// The same for the storage node.
+/// Encodes the request to a storage node to assemble parts.
 pub fn encode_complete(parts: Vec<CompletePart>) -> String {
     encode("CompleteMultipartUpload", &WireComplete { parts })
 }
 
-/// The tag of the completed object.
+/// Decodes the entity tag of the assembled object.
 pub fn decode_completed(body: &[u8]) -> Option<String> {
-    decode::<WireCompleted>(body).map(|c| c.etag)
+    decode::<WireCompleted>(body).map(|completed| completed.etag)
 }
 
-/// The answer to the client that completed an upload.
+/// Encodes the response to a client that completed an upload.
 pub fn encode_completed(location: &str, bucket: &str, key: &str, etag: &str) -> String {
     let wire = WireCompleted {
-        space: SPACE.into(),
+        namespace: NAMESPACE.into(),
         location: location.into(),
         bucket: bucket.into(),
         key: key.into(),
@@ -173,13 +188,19 @@
     encode("CompleteMultipartUploadResult", &wire)
 }
 
-/// Reads a storage node's list of parts.
+/// Decodes a storage node's list of parts.
 pub fn decode_listing(body: &[u8]) -> Option<Listing> {
     decode(body)
 }
 
-/// The list of parts for the client, under the names that it knows.
+/// Encodes the list of parts for a client, under the names that the client knows.
 pub fn encode_listing(listing: Listing, bucket: &str, key: &str, upload_id: &str) -> String {
-    let (bucket, key, upload_id) = (bucket.into(), key.into(), upload_id.into());
-    encode("ListPartsResult", &Listing { space: SPACE.into(), bucket, key, upload_id, ..listing })
+    let wire = Listing {
+        namespace: NAMESPACE.into(),
+        bucket: bucket.into(),
+        key: key.into(),
+        upload_id: upload_id.into(),
+        ..listing
+    };
+    encode("ListPartsResult", &wire)
 }
