--- a/src/bin/scheduler-simulator-adapter/main.rs
+++ b/src/bin/scheduler-simulator-adapter/main.rs
@@ -18,8 +18,6 @@
 enum AdapterError {
     #[error("standard input: {0}")]
     Input(io::Error),
-    #[error("standard output: {0}")]
-    Output(io::Error),
     #[error(transparent)]
     Message(#[from] MessageError),
     #[error(transparent)]
@@ -44,10 +42,8 @@
         if line.trim().is_empty() {
             continue;
         }
-        match Message::decode(&line)? {
-            Some(Message::EndBatch) => session.reply(&mut output).map_err(AdapterError::Output)?,
-            Some(message) => session.handle(message)?,
-            None => {}
+        if let Some(message) = Message::decode(&line)? {
+            session.handle(message, &mut output)?;
         }
     }
     Ok(())
--- a/src/bin/scheduler-simulator-adapter/session.rs
+++ b/src/bin/scheduler-simulator-adapter/session.rs
@@ -9,12 +9,15 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use storage_gateway::scheduler::{Action, Endpoint, EndpointUpdate, Event, Scheduler};
 
-/// Why a message that is well-formed cannot be handled.
+/// Why a message that is well-formed cannot be handled, or its reply not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
     /// The message refers to an endpoint list that was never sent.
     #[error("event 'members': no such list")]
     UnknownList,
+    /// The reply cannot be written.
+    #[error("standard output: {0}")]
+    Output(#[from] io::Error),
 }
 
 /// The state of the conversation with the simulator.
@@ -28,12 +31,13 @@
 }
 
 impl Session {
-    /// Handles a message; what it brings for an instance that does not run is dropped.
+    /// Handles a message, and writes the reply to `output` where the message ends a batch. An event for an
+    /// instance that does not run is dropped.
     ///
     /// # Errors
     ///
-    /// Where the message refers to an unknown endpoint list.
-    pub fn handle(&mut self, message: Message) -> Result<(), SessionError> {
+    /// Where the message refers to an unknown endpoint list, or `output` cannot be written.
+    pub fn handle(&mut self, message: Message, output: &mut impl Write) -> Result<(), SessionError> {
         match message {
             Message::SetClock { now_us } => self.now_us = now_us,
             Message::DefineList { list, endpoints } => {
@@ -52,7 +56,7 @@
                 self.enqueue(instance, Event::EndpointsUpdated(update));
             }
             Message::Deliver { instance, event } => self.enqueue(instance, event),
-            Message::EndBatch => {}
+            Message::EndBatch => self.reply(output)?,
         }
         Ok(())
     }
@@ -73,12 +77,8 @@
         }
     }
 
-    /// Ends the batch: has each instance handle its events and writes the actions that they lead to.
-    ///
-    /// # Errors
-    ///
-    /// Where `output` cannot be written.
-    pub fn reply(&mut self, output: &mut impl Write) -> io::Result<()> {
+    /// Has each instance handle its events and writes the actions that they lead to.
+    fn reply(&mut self, output: &mut impl Write) -> io::Result<()> {
         let mut actions = Vec::new();
         for (instance, events) in self.batch.drain(..) {
             let Some(scheduler) = self.instances.get_mut(&instance) else { continue };
--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -82,7 +82,7 @@
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// Decodes a list; one that is wrong anywhere is wrong as a whole.
+/// Decodes a list, which is valid as a whole or not at all.
 ///
 /// # Errors
 ///
@@ -103,7 +103,7 @@
         "Gone" => EndpointState::Removed,
         other => return Err(serde::de::Error::custom(format!("unknown status '{other}'"))),
     };
-    // The scheduler adds to this time: one beyond all reason would overflow there.
+    // The scheduler adds to this time: a larger one could overflow there.
     if wire.since_ms > LATEST_MS {
         return Err(serde::de::Error::custom(format!("since_ms {} is beyond reason", wire.since_ms)));
     }
@@ -117,8 +117,8 @@
     })
 }
 
-/// The request for what is newer than this version, which discovery holds open for at most `wait`; or for the
-/// whole list, if no version is known.
+/// Encodes the request for changes after this version, which discovery answers after at most `wait`; or for
+/// the complete list, if no version is known.
 pub fn watch_request(discovery: SocketAddr, after: Option<u64>, wait: Duration) -> Request<Full<Bytes>> {
     let query =
         after.map_or(String::new(), |version| format!("?after={version}&wait_ms={}", wait.as_millis()));
--- a/src/protocol/inventory/tests.rs
+++ b/src/protocol/inventory/tests.rs
@@ -29,21 +29,21 @@
 
 #[test]
 fn errors_name_line_and_field() {
-    let told = |text: &str, format| -> Vec<(usize, String)> {
+    let locations = |text: &str, format| -> Vec<(usize, String)> {
         decode(text, format).unwrap_err().into_iter().map(|e| (e.line, e.field)).collect()
     };
-    let expect = |list: &[(usize, &str)]| -> Vec<(usize, String)> {
+    let expected = |list: &[(usize, &str)]| -> Vec<(usize, String)> {
         list.iter().map(|(line, field)| (*line, field.to_string())).collect()
     };
     let csv = "name,address,rack,state\na,127.0.0.1:1,r1,up\na,nowhere:1,r 1,\nb,127.0.0.1:1\n";
-    assert_eq!(told(csv, Format::Csv), expect(&[(4, "row")]));
+    assert_eq!(locations(csv, Format::Csv), expected(&[(4, "row")]));
     let csv = "name,address,rack,state\na,127.0.0.1:1,r1,up\na,nowhere:1,r 1,\nb,127.0.0.1:1,r1,\n";
     let all = [(2, "state"), (3, "name"), (3, "address"), (3, "rack"), (4, "address")];
-    assert_eq!(told(csv, Format::Csv), expect(&all));
-    assert_eq!(told("name,rack\na,r\n", Format::Csv), expect(&[(1, "address")]));
-    assert_eq!(told("name,address,rack\n", Format::Csv), expect(&[(1, "hosts")]));
+    assert_eq!(locations(csv, Format::Csv), expected(&all));
+    assert_eq!(locations("name,rack\na,r\n", Format::Csv), expected(&[(1, "address")]));
+    assert_eq!(locations("name,address,rack\n", Format::Csv), expected(&[(1, "hosts")]));
     let yaml = YAML.replace("127.0.0.2, room", "localhost, room").replace("rack: r2", "rack: [r2]");
-    assert_eq!(told(&yaml, Format::Yaml), expect(&[(9, "address"), (13, "rack")]));
-    assert_eq!(told("all:\n  host: {}\n", Format::Yaml), expect(&[(2, "host")]));
-    assert_eq!(told("a: [1\nb: 2\n", Format::Yaml)[0].1, "document");
+    assert_eq!(locations(&yaml, Format::Yaml), expected(&[(9, "address"), (13, "rack")]));
+    assert_eq!(locations("all:\n  host: {}\n", Format::Yaml), expected(&[(2, "host")]));
+    assert_eq!(locations("a: [1\nb: 2\n", Format::Yaml)[0].1, "document");
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,11 @@
-//! The protocols: each message is decoded once, into a small typed value, and encoded once.
+//! The messages of all protocols. Each is decoded once, into a small typed value with typed errors, and
+//! encoded once; nothing here touches a socket.
+//!
+//! - [`client_request`], [`node_response`] and [`endpoint_list`]: the platform's protocol, between clients,
+//!   gateways, storage nodes and discovery;
+//! - [`settings`]: the platform's settings, which the simulator sends as well;
+//! - [`object`]: the object API;
+//! - [`admin`] and [`inventory`]: what an operator sends and keeps.
 
 pub mod admin;
 pub mod client_request;
--- a/src/protocol/object/range/tests.rs
+++ b/src/protocol/object/range/tests.rs
@@ -24,8 +24,8 @@
     assert!(Last(5).matches("bytes 15-19/20", None));
     assert!(Last(50).matches("bytes 0-19/20", None));
     assert!(From(5).matches("bytes 5-19/20", Some(15)));
-    for told in ["bytes 1-9/20", "bytes 0-8/20", "bytes 0-9/5", "0-9/20", "bytes 0-9/x"] {
-        assert!(!Span(0, 9).matches(told, None), "{told}");
+    for content_range in ["bytes 1-9/20", "bytes 0-8/20", "bytes 0-9/5", "0-9/20", "bytes 0-9/x"] {
+        assert!(!Span(0, 9).matches(content_range, None), "{content_range}");
     }
     assert!(!Span(0, 9).matches("bytes 0-9/20", Some(9)));
 }
--- a/src/protocol/object/request.rs
+++ b/src/protocol/object/request.rs
@@ -19,7 +19,8 @@
     Read {
         /// Whether the response goes without the body.
         head: bool,
-        /// The range, if exactly one is stated and well-formed; otherwise the response is the complete object.
+        /// The range, if exactly one is stated and well-formed; otherwise the response is the complete
+        /// object.
         range: Option<ByteRange>,
     },
     /// Store an object.
