--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -121,14 +121,14 @@
     }
 
     fn list_parts(&self, upload_id: &str) -> NodeResponse {
-        let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_upload)?;
+        let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_such_upload)?;
         let listed = parts.iter().map(|(number, part)| ListedPart {
             number: *number,
             modified: None,
             etag: part.etag.clone(),
             size: part.bytes.len() as u64,
         });
-        let listing = Listing::of(listed.collect());
+        let listing = Listing::new(listed.collect());
         Ok(response(StatusCode::OK, object::encode_listing(listing, "", "", upload_id)))
     }
 
@@ -160,19 +160,21 @@
                 self.objects.remove(path);
                 Ok(WriteResult::removed())
             }
-            Operation::Initiate => Ok(self.initiate_upload()),
-            Operation::Part(upload_id, number) => {
-                let parts = self.uploads.get_mut(&upload_id).ok_or_else(ApiError::no_upload)?;
+            Operation::InitiateUpload => Ok(self.initiate_upload()),
+            Operation::UploadPart { upload_id, number } => {
+                let parts = self.uploads.get_mut(&upload_id).ok_or_else(ApiError::no_such_upload)?;
                 let etag = received.etag.clone();
                 parts.insert(number, received);
                 Ok(WriteResult::stored(etag))
             }
-            Operation::Complete(upload_id) => self.complete_upload(path, &upload_id, &received.bytes),
-            Operation::Abort(upload_id) => {
-                self.uploads.remove(&upload_id).ok_or_else(ApiError::no_upload)?;
+            Operation::CompleteUpload { upload_id } => {
+                self.complete_upload(path, &upload_id, &received.bytes)
+            }
+            Operation::AbortUpload { upload_id } => {
+                self.uploads.remove(&upload_id).ok_or_else(ApiError::no_such_upload)?;
                 Ok(WriteResult::removed())
             }
-            Operation::Read { .. } | Operation::ListParts(..) => unreachable!("reads change nothing"),
+            Operation::Read { .. } | Operation::ListParts { .. } => unreachable!("reads change nothing"),
         }
     }
 
@@ -192,7 +194,7 @@
 
     /// Assembles an object from the parts that the body lists.
     fn complete_upload(&mut self, path: &str, upload_id: &str, body: &[u8]) -> Result<WriteResult, ApiError> {
-        let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_upload)?;
+        let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_such_upload)?;
         let mut bytes = Vec::new();
         for listed in object::decode_complete(body)? {
             let stored = parts.get(&listed.number).filter(|part| part.etag == listed.etag);
@@ -229,12 +231,13 @@
 async fn handle_request(store: Rc<RefCell<Store>>, request: Request<Incoming>) -> NodeResponse {
     let (head, body) = request.into_parts();
     let operation = object::decode(&head)?.operation;
-    let bytes = body.collect().await.map_err(|_| ApiError::invalid("The body broke off."))?.to_bytes();
+    let bytes =
+        body.collect().await.map_err(|_| ApiError::invalid_argument("The body broke off."))?.to_bytes();
     let path = head.uri.path();
     println!("{} {}", head.method, head.uri);
     match operation {
         Operation::Read { head: head_only, range } => store.borrow().read(path, head_only, range),
-        Operation::ListParts(upload_id, _) => store.borrow().list_parts(&upload_id),
+        Operation::ListParts { upload_id, .. } => store.borrow().list_parts(&upload_id),
         operation => {
             let received = StoredObject::new(bytes, head.headers.get(CONTENT_TYPE).cloned());
             let key = idempotency_key(&head.headers);
--- a/src/gateway/config/object/error.rs
+++ b/src/gateway/config/object/error.rs
@@ -48,7 +48,7 @@
         source: io::Error,
     },
     /// The upload secret is too short to sign with.
-    #[error("the upload secret needs {} bytes or more", UploadKey::LEAST)]
+    #[error("the upload secret needs {} bytes or more", UploadKey::MIN_SECRET_LEN)]
     UploadSecretTooShort,
     /// The inventory cannot be read or is malformed.
     #[error(transparent)]
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use crate::protocol::client_request::NameTable;
 use crate::protocol::endpoint_list::{self, EndpointList};
-use crate::protocol::settings::{WireOptions, settings};
+use crate::protocol::settings::PlatformSettings;
 use crate::scheduler::{Idempotency, SchedulerSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -27,7 +27,7 @@
     /// Decoded on its own: it may be malformed without harm.
     #[serde(borrow, rename = "known")]
     cached_list: Option<&'a RawValue>,
-    settings: WireOptions,
+    settings: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -96,7 +96,7 @@
 
     fn decode(json: &[u8]) -> Result<PlatformConfig, PlatformConfigError> {
         let file: PlatformConfigFile = serde_json::from_slice(json)?;
-        let settings = settings(&file.settings);
+        let settings = file.settings.to_scheduler_settings();
         if settings.classes.is_empty() || settings.plans.is_empty() {
             return Err(PlatformConfigError::NoClassOrPlan);
         }
@@ -120,19 +120,16 @@
     endpoint_list::decode(json.get().as_bytes()).ok()
 }
 
-fn name_table(options: &WireOptions, settings: &SchedulerSettings) -> NameTable {
+fn name_table(options: &PlatformSettings, settings: &SchedulerSettings) -> NameTable {
     let has_key = |idempotency| matches!(idempotency, Idempotency::WithKey { .. });
     NameTable {
         classes: options.class_names(),
         plans: options.plan_names(),
         writes: options.writes(),
-        keyed: settings.classes.iter().map(|class| has_key(class.idempotency)).collect(),
+        has_idempotency_key: settings.classes.iter().map(|class| has_key(class.idempotency)).collect(),
     }
 }
 
-fn node_idle_timeout(options: &WireOptions) -> Duration {
-    match options.idle() {
-        0 => DEFAULT_NODE_IDLE_TIMEOUT,
-        idle_us => Duration::from_micros(idle_us),
-    }
+fn node_idle_timeout(options: &PlatformSettings) -> Duration {
+    options.node_idle_timeout_us().map_or(DEFAULT_NODE_IDLE_TIMEOUT, Duration::from_micros)
 }
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -81,7 +81,7 @@
 
 /// The names of the nodes' rooms, sorted, each once.
 fn zone_names(nodes: &[InventoryNode]) -> Vec<String> {
-    let names: BTreeSet<String> = nodes.iter().map(|node| node.room.clone()).collect();
+    let names: BTreeSet<String> = nodes.iter().map(|node| node.zone.clone()).collect();
     names.into_iter().collect()
 }
 
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,6 +1,6 @@
 use crate::protocol::admin::{TenantDefinition, TenantView};
-use crate::protocol::inventory::plain_name;
-use crate::protocol::object::bucket_allowed;
+use crate::protocol::inventory::is_plain_name;
+use crate::protocol::object::is_valid_bucket_name;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -89,11 +89,11 @@
         let Some(plan) = self.plans.iter().position(|p| *p == plan) else {
             return wrong(format!("unknown plan '{plan}'"));
         };
-        let bad = |v: &&String| !bucket_allowed(v) || RESERVED.contains(&v.as_str());
+        let bad = |v: &&String| !is_valid_bucket_name(v) || RESERVED.contains(&v.as_str());
         if let Some(volume) = volumes.iter().find(bad) {
             return wrong(format!("'{volume}' is not allowed as a volume's name"));
         }
-        if racks.is_empty() || !racks.iter().all(|r| plain_name(r)) {
+        if racks.is_empty() || !racks.iter().all(|r| is_plain_name(r)) {
             return wrong("racks must name one rack or more".into());
         }
         let Some(token) = decode_hash(&token_sha256) else {
