--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -1,6 +1,6 @@
 use super::inventory::{InventoryCommand, ReloadError};
 use super::metrics::GatewayMetrics;
-use super::tenants::{Tenants, TokenHash, hash};
+use super::tenants::{TenantRegistry, TokenHash, hash_token};
 use crate::protocol::admin::{self, AdminRequest, AdminRequestError, TenantDefinition};
 use crate::protocol::object::bearer_token;
 use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, full_body};
@@ -19,7 +19,7 @@
     /// The hash of its token.
     pub token: TokenHash,
     /// The tenants.
-    pub tenants: Tenants,
+    pub tenants: TenantRegistry,
     /// The list's actor.
     pub inventory: mpsc::UnboundedSender<InventoryCommand>,
     /// The metrics.
@@ -55,7 +55,7 @@
     }
 
     async fn decide(&self, request: Request<Incoming>) -> Said {
-        if bearer_token(request.headers()).is_none_or(|t| hash(t) != self.token) {
+        if bearer_token(request.headers()).is_none_or(|t| hash_token(t) != self.token) {
             return error(StatusCode::UNAUTHORIZED, "the administration's bearer token is needed");
         }
         let ask = match admin::decode(request.method().as_str(), request.uri().path()) {
@@ -129,7 +129,7 @@
         text.name.clone_from(&name);
         match self.tenants.put(text) {
             Ok(()) => (StatusCode::OK, json!({"tenant": name})),
-            Err(e) => error(StatusCode::BAD_REQUEST, e),
+            Err(e) => error(StatusCode::BAD_REQUEST, e.to_string()),
         }
     }
 }
--- a/src/gateway/config/object.rs
+++ b/src/gateway/config/object.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use crate::gateway::inventory;
 use crate::gateway::object_frontend::ObjectLimits;
-use crate::gateway::tenants::{Tenants, TokenHash, decode_hash};
+use crate::gateway::tenants::{TenantRegistry, TokenHash, parse_token_hash};
 use crate::protocol::admin::TenantDefinition;
 use crate::protocol::inventory::InventoryNode;
 use crate::protocol::object::UploadKey;
@@ -157,7 +157,7 @@
     /// What it holds.
     pub hosts: Vec<InventoryNode>,
     /// The tenants.
-    pub tenants: Tenants,
+    pub tenants: TenantRegistry,
     /// For the scheduler.
     pub settings: SchedulerSettings,
 }
@@ -183,7 +183,7 @@
             return Err("admin.listen must be a loopback address".into());
         }
         let admin_token =
-            decode_hash(&text.admin.token_sha256).ok_or("admin.token_sha256 must be 64 hex digits")?;
+            parse_token_hash(&text.admin.token_sha256).ok_or("admin.token_sha256 must be 64 hex digits")?;
         let (o, classes) = (&text.object, [&text.class.read, &text.class.write]);
         if o.body_most == 0 || o.buffer == 0 || o.unit == 0 || o.stall_ms == 0 || o.node_idle_ms == 0 {
             return Err("the figures of [object] must be above 0".into());
@@ -233,7 +233,7 @@
             key,
             inventory: path,
             hosts,
-            tenants: Tenants::new(plans, text.tenant)?,
+            tenants: TenantRegistry::new(plans, text.tenant).map_err(|e| e.to_string())?,
             settings,
         })
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,9 +3,11 @@
 mod admin_frontend;
 mod config;
 mod discovery;
+mod frontend;
 mod inventory;
 mod metrics;
 mod node_registry;
+mod node_transport;
 mod object_frontend;
 mod platform_frontend;
 mod shutdown;
--- /dev/null
+++ b/src/gateway/node_transport.rs
@@ -0,0 +1,147 @@
+//! The path of an attempt from the router to a storage node and back, which both front ends share.
+
+use super::node_registry::NodeRegistry;
+use crate::protocol::node_response::{self, NodeResponseHead};
+use crate::routing::{Attempt, AttemptResult, RouterHandle};
+use crate::scheduler::{AttemptOutcome, RequestId};
+use crate::transport::{Exchange, ExchangeEvent, StreamedBody, StreamingRule};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{HeaderMap, Request, Response, StatusCode};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// What a front end submits with a request: how its protocol writes the request to a storage node and reads
+/// the response.
+pub trait AttemptPayload: 'static {
+    /// What the front end gets of a storage node's response.
+    type Response: 'static;
+
+    /// The request for one attempt, which may take this long.
+    fn encode(&self, time_left: Duration) -> Request<Full<Bytes>>;
+
+    /// Whether the head of a response shows that the storage node served the request.
+    fn accepts_response(&self, status: StatusCode, headers: &HeaderMap) -> bool;
+
+    /// A response that has been read completely.
+    fn complete_response(response: Response<Bytes>) -> Self::Response;
+
+    /// A response whose body follows; none in a protocol whose [`ResponseLimits`] stream nothing.
+    fn streamed_response(_response: Response<StreamedBody>) -> Option<Self::Response> {
+        None
+    }
+}
+
+/// How long and how large a storage node's response may be.
+pub struct ResponseLimits {
+    /// A response that has begun and of which nothing more has come for so long has failed.
+    pub stall_timeout: Duration,
+    /// The longest body that is read completely, in bytes.
+    pub max_body_len: usize,
+    /// Which responses are streamed.
+    pub streaming: StreamingRule,
+}
+
+/// Starts an attempt at its storage node; its end is reported to the router.
+pub fn start_attempt<P: AttemptPayload>(
+    router: &RouterHandle<P, P::Response>,
+    nodes: &NodeRegistry,
+    attempt: Attempt<P>,
+    limits: ResponseLimits,
+) {
+    match nodes.pool(&attempt.node) {
+        Some(pool) => pool.execute(exchange(router.clone(), attempt, limits)),
+        None => router.attempt_ended(
+            attempt.request,
+            attempt.number,
+            AttemptResult::without_response(AttemptOutcome::ConnectFailed),
+        ),
+    }
+}
+
+fn exchange<P: AttemptPayload>(
+    router: RouterHandle<P, P::Response>,
+    attempt: Attempt<P>,
+    limits: ResponseLimits,
+) -> Exchange {
+    let Attempt { request, number, node: _, payload, deadline, cancelled, interest } = attempt;
+    let mut reporter =
+        AttemptReporter { router, request, number, payload: payload.clone(), streamed_head: None };
+    Exchange {
+        build_request: Box::new(move || {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            interest.remains().then(|| payload.encode(time_left))
+        }),
+        deadline,
+        cancelled,
+        stall_timeout: limits.stall_timeout,
+        streaming: limits.streaming,
+        max_body_len: limits.max_body_len,
+        on_event: Box::new(move |event| reporter.report(event)),
+    }
+}
+
+/// Reports what becomes of one attempt to the router.
+struct AttemptReporter<P: AttemptPayload> {
+    router: RouterHandle<P, P::Response>,
+    request: RequestId,
+    number: u32,
+    payload: Rc<P>,
+    /// The head of a response whose body is being streamed.
+    streamed_head: Option<NodeResponseHead>,
+}
+
+impl<P: AttemptPayload> AttemptReporter<P> {
+    fn report(&mut self, event: ExchangeEvent) {
+        let result = match event {
+            ExchangeEvent::StreamStarted(response) => return self.report_stream(response),
+            ExchangeEvent::Completed(response) => {
+                let head = self.parse_head(&response);
+                result_with_head(head, Some(P::complete_response(response)))
+            }
+            ExchangeEvent::StreamCompleted => match self.streamed_head.take() {
+                Some(head) => result_with_head(head, None),
+                None => AttemptResult::without_response(AttemptOutcome::Succeeded),
+            },
+            ended => AttemptResult::without_response(outcome_of(&ended)),
+        };
+        self.router.attempt_ended(self.request, self.number, result);
+    }
+
+    fn report_stream(&mut self, response: Response<StreamedBody>) {
+        self.streamed_head = Some(self.parse_head(&response));
+        if let Some(response) = P::streamed_response(response) {
+            self.router.response_started(self.request, response);
+        }
+    }
+
+    fn parse_head<B>(&self, response: &Response<B>) -> NodeResponseHead {
+        let headers = response.headers();
+        node_response::parse_response_head(response.status(), headers, |status| {
+            self.payload.accepts_response(status, headers)
+        })
+    }
+}
+
+/// The result of an attempt to which the storage node responded.
+fn result_with_head<R>(head: NodeResponseHead, response: Option<R>) -> AttemptResult<R> {
+    let NodeResponseHead { outcome, volume_rate_percent, units_via_other_gateways, load } = head;
+    AttemptResult { outcome, response, volume_rate_percent, units_via_other_gateways, load }
+}
+
+/// The outcome of an attempt whose exchange brought no response, or one that has been reported before.
+fn outcome_of(event: &ExchangeEvent) -> AttemptOutcome {
+    match event {
+        ExchangeEvent::Completed(_) | ExchangeEvent::StreamStarted(_) | ExchangeEvent::StreamCompleted => {
+            AttemptOutcome::Succeeded
+        }
+        ExchangeEvent::DescriptorsExhausted | ExchangeEvent::NotStarted => AttemptOutcome::NotSent,
+        ExchangeEvent::ConnectFailed => AttemptOutcome::ConnectFailed,
+        ExchangeEvent::ConnectionReset => AttemptOutcome::ConnectionReset,
+        // The node itself is healthy: it responded.
+        ExchangeEvent::MalformedResponse => AttemptOutcome::Failed,
+        ExchangeEvent::TimedOut => AttemptOutcome::TimedOut,
+        ExchangeEvent::Cancelled => AttemptOutcome::Cancelled,
+    }
+}
--- /dev/null
+++ b/src/gateway/object_frontend/body.rs
@@ -0,0 +1,108 @@
+//! Bodies of requests, and the memory that bodies of requests and responses may occupy in all.
+
+use super::{ObjectFrontend, ObjectLimits, Rejection};
+use crate::gateway::frontend::{BodyError, read_body};
+use crate::protocol::object::{ApiError, ObjectRequest, Operation};
+use bytes::Bytes;
+use hyper::StatusCode;
+use hyper::body::Incoming;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+use tokio::time::Instant;
+
+/// How long a client may take over a body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// When a client should come back that is rejected for want of connections or memory, in microseconds.
+pub(super) const OVERLOAD_RETRY_AFTER_US: u64 = 1_000_000;
+
+/// Bytes to a permit of [`BodyMemory`].
+const BYTES_PER_PERMIT: u64 = 1024;
+
+/// The memory that bodies may occupy in all.
+pub struct BodyMemory(Arc<Semaphore>);
+
+/// Memory reserved for the bodies of one request, until the last clone is dropped.
+#[derive(Clone)]
+pub struct BodyPermit {
+    _permit: Arc<OwnedSemaphorePermit>,
+}
+
+impl BodyMemory {
+    /// Memory of this many bytes.
+    pub fn new(bytes: u64) -> Self {
+        BodyMemory(Arc::new(Semaphore::new((bytes / BYTES_PER_PERMIT) as usize)))
+    }
+
+    /// Reserves so many bytes, if they are free.
+    fn try_reserve(&self, bytes: u64) -> Option<BodyPermit> {
+        let permits = u32::try_from(bytes / BYTES_PER_PERMIT + 1).unwrap_or(u32::MAX);
+        let permit = self.0.clone().try_acquire_many_owned(permits).ok()?;
+        Some(BodyPermit { _permit: Arc::new(permit) })
+    }
+}
+
+impl ObjectFrontend {
+    /// Reserves memory for the bodies of a request and of its response.
+    pub(super) fn reserve_memory(&self, request: &ObjectRequest) -> Result<BodyPermit, Rejection> {
+        let bytes = if request.operation.has_body() {
+            self.request_body_len(request)?
+        } else {
+            buffered_response_len(request, &self.limits)
+        };
+        self.memory.try_reserve(bytes).ok_or_else(|| {
+            self.metrics.overload.increment();
+            Rejection::slow_down(Some(OVERLOAD_RETRY_AFTER_US))
+        })
+    }
+
+    fn request_body_len(&self, request: &ObjectRequest) -> Result<u64, Rejection> {
+        let length = request.length.ok_or_else(missing_content_length)?;
+        if length > self.limits.body_most {
+            self.metrics.bodies_too_large.increment();
+            return Err(ApiError::too_large().into());
+        }
+        Ok(length)
+    }
+
+    /// Reads the body of a request, which must be as long as the request states.
+    pub(super) async fn read_request_body(
+        &self,
+        request: &ObjectRequest,
+        body: Incoming,
+    ) -> Result<Bytes, Rejection> {
+        let length = if request.operation.has_body() { request.length.unwrap_or(0) } else { 0 };
+        let max_len = usize::try_from(length).unwrap_or(usize::MAX);
+        read_body(body, max_len, Instant::now() + BODY_READ_TIMEOUT)
+            .await
+            .map_err(|cause| self.bad_request(body_error(cause)))
+    }
+}
+
+/// How much of a response may be read completely before the client gets any of it, in bytes.
+fn buffered_response_len(request: &ObjectRequest, limits: &ObjectLimits) -> u64 {
+    match &request.operation {
+        Operation::Read { head: false, range } => {
+            range.as_ref().and_then(|range| range.max_len()).unwrap_or(u64::MAX).min(limits.buffer)
+        }
+        _ => 0,
+    }
+}
+
+fn missing_content_length() -> ApiError {
+    ApiError::new(StatusCode::LENGTH_REQUIRED, "MissingContentLength", "Needs Content-Length.")
+}
+
+fn body_error(cause: BodyError) -> ApiError {
+    match cause {
+        BodyError::TooLong | BodyError::Incomplete => {
+            let message = "The body is not as long as was said.";
+            ApiError::new(StatusCode::BAD_REQUEST, "IncompleteBody", message)
+        }
+        BodyError::TimedOut => {
+            let message = "The body took too long.";
+            ApiError::new(StatusCode::REQUEST_TIMEOUT, "RequestTimeout", message)
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway/object_frontend/limits.rs
@@ -0,0 +1,39 @@
+//! The limits of the object API, and its request classes.
+
+use std::time::Duration;
+
+/// The classes of the object API's requests; the scheduler's settings list them in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ObjectClass {
+    /// Requests that change nothing.
+    Read = 0,
+    /// Requests that change an object or an upload.
+    Write = 1,
+}
+
+impl ObjectClass {
+    /// The class's number in the scheduler's settings.
+    pub fn index(self) -> usize {
+        self as usize
+    }
+}
+
+/// The limits of the object front end.
+#[derive(Clone, Copy, Debug)]
+pub struct ObjectLimits {
+    /// The longest body of a request, in bytes.
+    pub body_most: u64,
+    /// The longest response, in bytes, that is read completely before the client gets any of it, so that a
+    /// failed attempt can be retried.
+    pub buffer: u64,
+    /// A response of which nothing has come for so long has stalled.
+    pub stall: Duration,
+    /// Bytes to a unit of the scheduler.
+    pub unit: u64,
+    /// The most units that a request counts for.
+    pub most_units: u64,
+    /// How many gateways serve the tenants.
+    pub gateways: usize,
+    /// How long each class's clients wait, in microseconds; indexed by [`ObjectClass`].
+    pub deadlines: [u64; 2],
+}
--- /dev/null
+++ b/src/gateway/object_frontend/rejection.rs
@@ -0,0 +1,48 @@
+//! Requests that are answered with an error.
+
+use crate::gateway::frontend::add_bearer_challenge;
+use crate::protocol::object::{ApiError, encode_error};
+use crate::transport::{ResponseBody, full_body};
+use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+
+/// An error, and when the client should come back.
+#[derive(Debug)]
+pub struct Rejection {
+    /// The error.
+    pub error: ApiError,
+    /// When the client should come back, counted from now, in microseconds; none if there is no advice.
+    pub retry_after_us: Option<u64>,
+}
+
+impl From<ApiError> for Rejection {
+    fn from(error: ApiError) -> Self {
+        Rejection { error, retry_after_us: None }
+    }
+}
+
+impl Rejection {
+    /// The request had no effect, and repeating it is harmless.
+    pub fn slow_down(retry_after_us: Option<u64>) -> Self {
+        Rejection { error: ApiError::slow_down(), retry_after_us }
+    }
+
+    /// The answer to a request for this resource. The answer to a HEAD request has no body.
+    pub fn into_response(self, head_only: bool, resource: &str, request_id: &str) -> Response<ResponseBody> {
+        let Rejection { error, retry_after_us } = self;
+        let text = if head_only { String::new() } else { encode_error(&error, resource, request_id) };
+        let mut response = Response::new(full_body(text));
+        *response.status_mut() = error.status;
+        *response.headers_mut() = *error.headers;
+        let headers = response.headers_mut();
+        headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
+        if error.status == StatusCode::UNAUTHORIZED {
+            add_bearer_challenge(headers);
+        }
+        if let Some(retry_after_us) = retry_after_us {
+            // Whole seconds: clients other than the platform's read no fractions.
+            headers.insert(RETRY_AFTER, retry_after_us.div_ceil(1_000_000).into());
+        }
+        response
+    }
+}
--- /dev/null
+++ b/src/gateway/object_frontend/response.rs
@@ -0,0 +1,77 @@
+//! The client's response, made of a storage node's: under the names that the client knows.
+
+use super::Rejection;
+use super::routed_request::RoutedRequest;
+use crate::protocol::object::{
+    ApiError, ObjectRequest, Operation, Upload, UploadKey, decode_completed, decode_error, decode_initiated,
+    decode_listing, encode_completed, encode_initiated, encode_listing, headers_to_client,
+};
+use crate::transport::{ResponseBody, full_body};
+use bytes::Bytes;
+use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, HeaderValue};
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode};
+
+/// The client's response from a storage node's response that was read completely.
+pub(super) fn client_response(
+    response: Response<Bytes>,
+    routed: RoutedRequest,
+    upload_key: &UploadKey,
+) -> Result<Response<ResponseBody>, Rejection> {
+    let (head, body) = response.into_parts();
+    if head.status.is_client_error() {
+        return Err(client_error(&head, &body).into());
+    }
+    let xml = match &routed.request.operation {
+        Operation::Initiate => initiated(&body, &routed, upload_key),
+        Operation::Complete(_) => completed(&body, &routed.request)?,
+        Operation::ListParts(upload, _) => listing(&body, &routed.request, upload),
+        _ => return Ok(forwarded_response(&head, full_body(body))),
+    };
+    let mut response = Response::new(full_body(xml.ok_or_else(ApiError::failed)?));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
+    Ok(response)
+}
+
+/// A storage node's response with those headers that the client gets.
+pub(super) fn forwarded_response(head: &Parts, body: ResponseBody) -> Response<ResponseBody> {
+    let mut response = Response::new(body);
+    *response.status_mut() = head.status;
+    *response.headers_mut() = headers_to_client(&head.headers);
+    response
+}
+
+fn client_error(head: &Parts, body: &Bytes) -> ApiError {
+    let (code, message) = decode_error(body).unwrap_or_else(|| {
+        let reason = head.status.canonical_reason().unwrap_or("Error");
+        (reason.replace(' ', ""), format!("{reason}."))
+    });
+    let mut error = ApiError::new(head.status, &code, &message);
+    *error.headers = headers_to_client(&head.headers);
+    error.headers.remove(CONTENT_LENGTH);
+    error
+}
+
+fn initiated(body: &Bytes, routed: &RoutedRequest, upload_key: &UploadKey) -> Option<String> {
+    let node_id = decode_initiated(body)?;
+    let upload = Upload { rack: routed.rack.clone(), node_id };
+    let id = upload_key.sign(routed.place(), &upload);
+    Some(encode_initiated(&routed.request.bucket, &routed.request.key, &id))
+}
+
+/// S3 may begin a completion with status 200 and end it with an error.
+fn completed(body: &Bytes, request: &ObjectRequest) -> Result<Option<String>, ApiError> {
+    let ObjectRequest { bucket, key, .. } = request;
+    if let Some(etag) = decode_completed(body) {
+        return Ok(Some(encode_completed(&format!("/{bucket}/{key}"), bucket, key, &etag)));
+    }
+    match decode_error(body) {
+        Some((code, message)) => Err(ApiError::new(StatusCode::INTERNAL_SERVER_ERROR, &code, &message)),
+        None => Ok(None),
+    }
+}
+
+fn listing(body: &Bytes, request: &ObjectRequest, upload: &str) -> Option<String> {
+    let listing = decode_listing(body)?;
+    Some(encode_listing(listing, &request.bucket, &request.key, upload))
+}
--- /dev/null
+++ b/src/gateway/object_frontend/transport.rs
@@ -0,0 +1,90 @@
+//! Takes the router's attempts to the storage nodes of the object API.
+
+use super::body::BodyPermit;
+use super::limits::ObjectLimits;
+use crate::gateway::node_registry::NodeRegistry;
+use crate::gateway::node_transport::{AttemptPayload, ResponseLimits, start_attempt};
+use crate::protocol::object::NodeRequest;
+use crate::routing::{Attempt, AttemptTransport, RouterHandle};
+use crate::transport::{StreamedBody, StreamingRule};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{HeaderMap, Request, Response, StatusCode};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The longest response other than an object's data, in bytes: a full list of parts is well below.
+const MAX_METADATA_LEN: usize = 1 << 20;
+
+/// What the front end submits to the router: a request to a storage node, and the memory reserved for its
+/// bodies.
+pub struct ObjectPayload {
+    pub(super) request: NodeRequest,
+    pub(super) _memory: BodyPermit,
+}
+
+/// A storage node's response.
+pub enum NodeResponse {
+    /// A response that has been read completely.
+    Complete(Response<Bytes>),
+    /// A response whose body follows.
+    Streamed(Response<StreamedBody>),
+}
+
+impl AttemptPayload for ObjectPayload {
+    type Response = NodeResponse;
+
+    fn encode(&self, time_left: Duration) -> Request<Full<Bytes>> {
+        self.request.encode(time_left)
+    }
+
+    fn accepts_response(&self, status: StatusCode, headers: &HeaderMap) -> bool {
+        self.request.accepts_response(status, headers)
+    }
+
+    fn complete_response(response: Response<Bytes>) -> NodeResponse {
+        NodeResponse::Complete(response)
+    }
+
+    fn streamed_response(response: Response<StreamedBody>) -> Option<NodeResponse> {
+        Some(NodeResponse::Streamed(response))
+    }
+}
+
+/// Takes the router's attempts to the storage nodes.
+pub struct ObjectTransport {
+    /// Where the ends of attempts are reported.
+    pub router: RouterHandle<ObjectPayload, NodeResponse>,
+    /// The storage nodes.
+    pub nodes: NodeRegistry,
+    /// The limits.
+    pub limits: ObjectLimits,
+}
+
+impl ObjectTransport {
+    /// Long responses with an object's data are streamed.
+    fn streaming_rule(&self, payload: Rc<ObjectPayload>) -> StreamingRule {
+        let may_stream = payload.request.may_stream;
+        StreamingRule {
+            min_body_len: self.limits.buffer,
+            accepts: Box::new(move |status, headers| {
+                may_stream && status.is_success() && payload.accepts_response(status, headers)
+            }),
+        }
+    }
+}
+
+impl AttemptTransport<ObjectPayload> for ObjectTransport {
+    fn start(&mut self, attempt: Attempt<ObjectPayload>) {
+        let limits = ResponseLimits {
+            stall_timeout: self.limits.stall,
+            max_body_len: MAX_METADATA_LEN.max(self.limits.buffer as usize),
+            streaming: self.streaming_rule(attempt.payload.clone()),
+        };
+        start_attempt(&self.router, &self.nodes, attempt, limits);
+    }
+
+    fn watch_endpoints(&mut self) {
+        // The inventory's actor publishes changes by itself; the scheduler is set up not to ask for them.
+    }
+}
--- a/src/gateway/platform_frontend.rs
+++ b/src/gateway/platform_frontend.rs
@@ -1,18 +1,19 @@
+//! The front end for the platform's protocol, and its transport to the storage nodes.
+
+use super::frontend::{BodyError, HealthStatus, RESPONSE_MARGIN_US, read_body};
 use super::metrics::GatewayMetrics;
 use super::node_registry::NodeRegistry;
+use super::node_transport::{AttemptPayload, ResponseLimits, start_attempt};
 use super::shutdown::ShutdownSchedule;
-use crate::protocol::client_request::{self, ForwardedRequest, NameTable, RequestError};
-use crate::protocol::node_response::{self, NodeResponseHead};
-use crate::routing::{Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, RouterHandle};
-use crate::scheduler::{AttemptOutcome, IncomingRequest, RequestId};
-use crate::transport::{
-    Admission, Exchange, ExchangeEvent, LifecyclePhase, RequestContext, ResponseBody, StreamingRule,
-    full_body,
-};
+use crate::protocol::client_request::{self, ForwardedRequest, NameTable, ParsedRequest, RequestError};
+use crate::routing::{Attempt, AttemptTransport, Clock, FinalAnswer, RouterHandle};
+use crate::scheduler::{IncomingRequest, RequestId};
+use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, StreamingRule, full_body};
 use bytes::Bytes;
-use http_body_util::{BodyExt, LengthLimitError, Limited};
+use http_body_util::Full;
 use hyper::body::{Body, Incoming};
-use hyper::header::HeaderValue;
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use rustc_hash::FxHashSet;
 use std::cell::RefCell;
@@ -21,53 +22,111 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Kept of a client's time for the way back and for this loop's own delay, in microseconds.
-const MARGIN: u64 = 10_000;
-/// How long a client may take over a request, from its first byte to its last; one that is not done by then
-/// is owed an error within 3 s.
-const REQUEST_TIME: Duration = Duration::from_millis(2_600);
-/// An answer that has begun and of which nothing has come for so long is spoilt: nodes write one at once.
-const STALL: Duration = Duration::from_millis(100);
-/// No client waits longer than this, in microseconds, whatever it says.
-const LONGEST: u64 = 600_000_000;
-
-/// The front for the platform's protocol.
+/// How long a client may take over a request, from its first byte to its last. By "A Fixed Test for All
+/// Future Versions of the Gateway", a client that stops halfway is owed an error within 3 s.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_600);
+
+/// A response that has begun and of which nothing has come for so long is malformed: storage nodes write a
+/// response at once. No page states this time.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// The longest time that a client is taken to wait, whatever it states, in microseconds.
+const MAX_CLIENT_TIMEOUT_US: u64 = 600_000_000;
+
+/// The front end for the platform's protocol.
 pub struct PlatformFrontend {
-    /// The core.
+    /// Where requests are submitted.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
-    /// Its clock.
+    /// The router's clock.
     pub clock: Clock,
     /// How requests name classes and plans.
     pub names: NameTable,
-    /// What it counts.
+    /// The counters.
     pub metrics: Rc<GatewayMetrics>,
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
-    /// When a client that finds no room is to come back, in microseconds; none: no advice.
+    /// When a client should come back that is rejected for want of connections, in microseconds; none if
+    /// there is no advice.
     pub overload_retry_after_us: Option<u64>,
-    /// How the program ends.
+    /// When requests are to be answered during a graceful shutdown.
     pub shutdown: Rc<ShutdownSchedule>,
-    /// The ids of the requests that are open.
+    /// The ids of the requests in progress.
     pub open: RefCell<FxHashSet<HeaderValue>>,
 }
 
-/// Keeps an id for as long as its request is open.
-struct OpenId<'a>(&'a RefCell<FxHashSet<HeaderValue>>, HeaderValue);
+/// Registers a request's id for as long as the request is in progress.
+struct OpenRequestId<'a> {
+    open: &'a RefCell<FxHashSet<HeaderValue>>,
+    id: HeaderValue,
+}
 
-impl<'a> OpenId<'a> {
-    /// None: a request of this id is open already. Guards against clients that borrow another's id: storage
-    /// nodes and the rules know a request by it.
-    fn take(open: &'a RefCell<FxHashSet<HeaderValue>>, id: &HeaderValue) -> Option<Self> {
-        open.borrow_mut().insert(id.clone()).then(|| OpenId(open, id.clone()))
+impl<'a> OpenRequestId<'a> {
+    /// None if a request with this id is in progress. Guards against clients that use another's id: storage
+    /// nodes and the rules identify a request by it.
+    fn register(open: &'a RefCell<FxHashSet<HeaderValue>>, id: &HeaderValue) -> Option<Self> {
+        open.borrow_mut().insert(id.clone()).then(|| OpenRequestId { open, id: id.clone() })
     }
 }
 
-impl Drop for OpenId<'_> {
+impl Drop for OpenRequestId<'_> {
     fn drop(&mut self) {
-        self.0.borrow_mut().remove(&self.1);
+        self.open.borrow_mut().remove(&self.id);
+    }
+}
+
+/// The answer to a client.
+struct PlatformResponse {
+    status: StatusCode,
+    body: Bytes,
+    retry_after_us: Option<u64>,
+}
+
+impl PlatformResponse {
+    fn new(status: StatusCode, body: impl Into<Bytes>) -> Self {
+        PlatformResponse { status, body: body.into(), retry_after_us: None }
+    }
+
+    fn unavailable(text: &'static str, retry_after_us: Option<u64>) -> Self {
+        PlatformResponse { retry_after_us, ..Self::new(StatusCode::SERVICE_UNAVAILABLE, text) }
+    }
+}
+
+impl From<HealthStatus> for PlatformResponse {
+    fn from(health: HealthStatus) -> Self {
+        let status = match health {
+            HealthStatus::Alive | HealthStatus::Ready => StatusCode::OK,
+            HealthStatus::Stopping => StatusCode::SERVICE_UNAVAILABLE,
+        };
+        PlatformResponse::new(status, health.text())
     }
 }
 
+impl From<FinalAnswer<Bytes>> for PlatformResponse {
+    fn from(answer: FinalAnswer<Bytes>) -> Self {
+        match answer {
+            FinalAnswer::Served(body) => PlatformResponse::new(StatusCode::OK, body),
+            FinalAnswer::Rejected { retry_after_us } => {
+                PlatformResponse::unavailable("refused\n", retry_after_us)
+            }
+            FinalAnswer::Failed => PlatformResponse::new(StatusCode::BAD_GATEWAY, "failed\n"),
+        }
+    }
+}
+
+/// Why a request is not submitted to the router.
+enum Rejection {
+    /// Too many connections are open.
+    Overloaded,
+    /// The head is malformed or names something unknown.
+    Malformed(RequestError),
+    /// A request with the same id is in progress.
+    DuplicateId,
+    /// The body is longer than the protocol allows.
+    BodyTooLarge,
+    /// The body broke off or did not come in time.
+    BodyIncomplete,
+}
+
 impl PlatformFrontend {
     /// Answers one request.
     pub async fn answer(
@@ -75,162 +134,149 @@
         request: Request<Incoming>,
         context: RequestContext,
     ) -> Response<ResponseBody> {
-        let (status, body, retry_after) = self.decide(request, context).await;
-        client_request::response(status, body, retry_after).map(full_body)
-    }
-
-    fn too_large(&self) -> (StatusCode, Bytes, Option<u64>) {
-        self.metrics.bodies_too_large.increment();
-        (StatusCode::PAYLOAD_TOO_LARGE, Bytes::from_static(b"the body is too large\n"), None)
+        let answer = match HealthStatus::for_path(request.uri().path(), &self.phase) {
+            Some(health) => health.into(),
+            None => self.serve(request, context).await.unwrap_or_else(|rejection| self.reject(rejection)),
+        };
+        client_request::response(answer.status, answer.body, answer.retry_after_us).map(full_body)
     }
 
-    async fn decide(
+    async fn serve(
         &self,
         request: Request<Incoming>,
         context: RequestContext,
-    ) -> (StatusCode, Bytes, Option<u64>) {
-        let plain = |status: StatusCode, text: String| (status, text.into(), None);
-        match request.uri().path() {
-            // The front exists only once the known list has been told, so here it can serve.
-            client_request::READY if *self.phase.borrow() == LifecyclePhase::Serving => {
-                return plain(StatusCode::OK, "ready\n".into());
-            }
-            client_request::READY => return plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n".into()),
-            client_request::LIVE => return plain(StatusCode::OK, "alive\n".into()),
-            _ => {}
-        }
+    ) -> Result<PlatformResponse, Rejection> {
         if context.admission == Admission::Overloaded {
-            self.metrics.overload.increment();
-            let text = Bytes::from_static(b"too many connections\n");
-            return (StatusCode::SERVICE_UNAVAILABLE, text, self.overload_retry_after_us);
+            return Err(Rejection::Overloaded);
         }
         let (head, body) = request.into_parts();
-        let ask = match client_request::decode(&head, context.conflicting_length, &self.names) {
-            Ok(ask) => ask,
-            Err(e) => {
-                self.metrics.bad_requests.increment();
-                let status = match e {
+        let parsed = client_request::decode(&head, context.conflicting_length, &self.names)
+            .map_err(Rejection::Malformed)?;
+        let _open = self.register_id(&head)?;
+        let body = read_request_body(body, context.started_at).await?;
+        let incoming = self.incoming_request(&parsed);
+        Ok(self.router.submit(incoming, ForwardedRequest { head, body }).await.into())
+    }
+
+    fn register_id(&self, head: &Parts) -> Result<OpenRequestId<'_>, Rejection> {
+        head.headers
+            .get("req-id")
+            .and_then(|id| OpenRequestId::register(&self.open, id))
+            .ok_or(Rejection::DuplicateId)
+    }
+
+    fn incoming_request(&self, parsed: &ParsedRequest) -> IncomingRequest {
+        IncomingRequest {
+            id: RequestId(0),
+            class: parsed.class,
+            plan: parsed.plan,
+            volume: parsed.volume,
+            volume_gateways: parsed.volume_gateways,
+            block: Some(parsed.block),
+            shard: parsed.shard,
+            units: parsed.units,
+            expires_at_us: self.expires_at_us(parsed.timeout_us),
+        }
+    }
+
+    /// When a request must be answered. Its time counts from its last byte; during a graceful shutdown it has
+    /// no more than that leaves.
+    fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
+        let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
+        let until_shutdown_us = match self.shutdown.answer_by.get() {
+            Some(answer_by) => (answer_by - Instant::now()).as_micros() as u64,
+            None => timeout_us,
+        };
+        self.clock.now_us() + timeout_us.min(until_shutdown_us)
+    }
+
+    fn reject(&self, rejection: Rejection) -> PlatformResponse {
+        self.count(&rejection);
+        match rejection {
+            Rejection::Overloaded => {
+                PlatformResponse::unavailable("too many connections\n", self.overload_retry_after_us)
+            }
+            Rejection::Malformed(cause) => {
+                let status = match cause {
                     RequestError::Length => StatusCode::LENGTH_REQUIRED,
                     _ => StatusCode::BAD_REQUEST,
                 };
-                return plain(status, format!("{e}\n"));
+                PlatformResponse::new(status, format!("{cause}\n"))
             }
-        };
-        let Some(_open) = head.headers.get("req-id").and_then(|id| OpenId::take(&self.open, id)) else {
-            self.metrics.bad_requests.increment();
-            return plain(StatusCode::CONFLICT, "a request of this id is open\n".into());
-        };
-        // What says that it will be too large is not waited for.
-        if body.size_hint().lower() > client_request::BODY_MOST as u64 {
-            return self.too_large();
-        }
-        // A client that stops halfway must not hold its connection for ever.
-        let whole = Limited::new(body, client_request::BODY_MOST).collect();
-        let body = match tokio::time::timeout_at(context.started_at + REQUEST_TIME, whole).await {
-            Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(e)) if e.is::<LengthLimitError>() => return self.too_large(),
-            Ok(Err(_)) | Err(_) => {
-                self.metrics.bad_requests.increment();
-                return plain(StatusCode::BAD_REQUEST, "the body broke off\n".into());
+            Rejection::DuplicateId => {
+                PlatformResponse::new(StatusCode::CONFLICT, "a request of this id is open\n")
             }
-        };
-        // A request's time counts from its last byte; one that came while the program stops has no longer
-        // than that takes.
-        let time = ask.timeout_us.min(LONGEST).saturating_sub(MARGIN);
-        let stops = self.shutdown.answer_by.get().map_or(time, |by| (by - Instant::now()).as_micros() as u64);
-        let expires = self.clock.now_us() + time.min(stops);
-        let arrival = IncomingRequest {
-            id: RequestId(0),
-            class: ask.class,
-            plan: ask.plan,
-            volume: ask.volume,
-            volume_gateways: ask.volume_gateways,
-            block: Some(ask.block),
-            shard: ask.shard,
-            units: ask.units,
-            expires_at_us: expires,
-        };
-        match self.router.submit(arrival, ForwardedRequest { head, body }).await {
-            FinalAnswer::Served(body) => (StatusCode::OK, body, None),
-            FinalAnswer::Rejected { retry_after_us } => {
-                (StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"refused\n"), retry_after_us)
+            Rejection::BodyTooLarge => {
+                PlatformResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
+            }
+            Rejection::BodyIncomplete => {
+                PlatformResponse::new(StatusCode::BAD_REQUEST, "the body broke off\n")
             }
-            FinalAnswer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n".into()),
         }
     }
+
+    fn count(&self, rejection: &Rejection) {
+        let counter = match rejection {
+            Rejection::Overloaded => &self.metrics.overload,
+            Rejection::BodyTooLarge => &self.metrics.bodies_too_large,
+            Rejection::Malformed(_) | Rejection::DuplicateId | Rejection::BodyIncomplete => {
+                &self.metrics.bad_requests
+            }
+        };
+        counter.increment();
+    }
+}
+
+async fn read_request_body(body: Incoming, started_at: Instant) -> Result<Bytes, Rejection> {
+    // A body that states that it is too large is not waited for.
+    if body.size_hint().lower() > client_request::BODY_MOST as u64 {
+        return Err(Rejection::BodyTooLarge);
+    }
+    let deadline = started_at + REQUEST_READ_TIMEOUT;
+    read_body(body, client_request::BODY_MOST, deadline).await.map_err(|cause| match cause {
+        BodyError::TooLong => Rejection::BodyTooLarge,
+        BodyError::Incomplete | BodyError::TimedOut => Rejection::BodyIncomplete,
+    })
 }
 
-/// Takes the core's attempts to the storage nodes.
+impl AttemptPayload for ForwardedRequest {
+    type Response = Bytes;
+
+    fn encode(&self, time_left: Duration) -> Request<Full<Bytes>> {
+        client_request::encode(self, time_left)
+    }
+
+    fn accepts_response(&self, status: StatusCode, _: &HeaderMap) -> bool {
+        status == StatusCode::OK
+    }
+
+    fn complete_response(response: Response<Bytes>) -> Bytes {
+        response.into_body()
+    }
+}
+
+/// Takes the router's attempts to the storage nodes.
 pub struct PlatformTransport {
-    /// The core.
+    /// Where the ends of attempts are reported.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
-    /// The nodes.
+    /// The storage nodes.
     pub nodes: NodeRegistry,
-    /// Where the list is asked for.
+    /// Starts a watch of the endpoint list.
     pub watch: mpsc::UnboundedSender<()>,
 }
 
 impl AttemptTransport<ForwardedRequest> for PlatformTransport {
     fn start(&mut self, attempt: Attempt<ForwardedRequest>) {
-        let Attempt { request, number, node, payload, deadline, cancelled, interest } = attempt;
-        let router = self.router.clone();
-        let Some(pool) = self.nodes.pool(&node) else {
-            return router.attempt_ended(
-                request,
-                number,
-                AttemptResult::without_response(AttemptOutcome::ConnectFailed),
-            );
-        };
-        pool.execute(Exchange {
-            build_request: Box::new(move || {
-                let left = deadline.saturating_duration_since(Instant::now());
-                interest.remains().then(|| client_request::encode(&payload, left))
-            }),
-            deadline,
-            cancelled,
-            stall_timeout: STALL,
-            streaming: StreamingRule::never(),
+        let limits = ResponseLimits {
+            stall_timeout: RESPONSE_STALL_TIMEOUT,
             max_body_len: client_request::BODY_MOST,
-            on_event: Box::new(move |end| router.attempt_ended(request, number, report(end))),
-        });
+            streaming: StreamingRule::never(),
+        };
+        start_attempt(&self.router, &self.nodes, attempt, limits);
     }
 
     fn watch_endpoints(&mut self) {
-        // The list's actor lives as long as the program.
+        // The endpoint watcher lives as long as the program.
         let _ = self.watch.send(());
     }
 }
-
-/// The report of an attempt that brought an answer.
-pub fn report_of<R>(told: NodeResponseHead, reply: Option<R>) -> AttemptResult<R> {
-    let NodeResponseHead { outcome, volume_rate_percent, units_via_other_gateways, load } = told;
-    AttemptResult { outcome, response: reply, volume_rate_percent, units_via_other_gateways, load }
-}
-
-/// The outcome of an attempt whose job brought no answer, or one that has been reported.
-pub fn ending(end: &ExchangeEvent) -> AttemptOutcome {
-    match end {
-        ExchangeEvent::Completed(_) | ExchangeEvent::StreamStarted(_) | ExchangeEvent::StreamCompleted => {
-            AttemptOutcome::Succeeded
-        }
-        ExchangeEvent::DescriptorsExhausted | ExchangeEvent::NotStarted => AttemptOutcome::NotSent,
-        ExchangeEvent::ConnectFailed => AttemptOutcome::ConnectFailed,
-        ExchangeEvent::ConnectionReset => AttemptOutcome::ConnectionReset,
-        // The node is well, and said so.
-        ExchangeEvent::MalformedResponse => AttemptOutcome::Failed,
-        ExchangeEvent::TimedOut => AttemptOutcome::TimedOut,
-        ExchangeEvent::Cancelled => AttemptOutcome::Cancelled,
-    }
-}
-
-fn report(end: ExchangeEvent) -> AttemptResult<Bytes> {
-    match end {
-        ExchangeEvent::Completed(answer) => {
-            let told = node_response::parse_response_head(answer.status(), answer.headers(), |s| {
-                s == StatusCode::OK
-            });
-            report_of(told, Some(answer.into_body()))
-        }
-        end => AttemptResult::without_response(ending(&end)),
-    }
-}
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -307,7 +307,7 @@
         racks,
         key: operator.key,
         limits: operator.limits,
-        memory: Arc::new(Semaphore::new((operator.memory / 1024) as usize)),
+        memory: object_frontend::BodyMemory::new(operator.memory),
         metrics: metrics.clone(),
         phase: phase.clone(),
         next: Cell::new(fastrand::u64(..)),
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,3 +1,5 @@
+//! The tenants of the object API: their plans, volumes, racks and tokens.
+
 use crate::protocol::admin::{TenantDefinition, TenantView};
 use crate::protocol::inventory::plain_name;
 use crate::protocol::object::bucket_allowed;
@@ -6,24 +8,79 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Bucket names that would hide a path of the gateway's own.
-const RESERVED: [&str; 1] = ["health"];
+/// Volume names that would hide a path of the gateway's own.
+const RESERVED_VOLUME_NAMES: [&str; 1] = ["health"];
+
+/// The longest name of a tenant, in bytes; [`TenantFault::Name`] states it too.
+const MAX_NAME_LEN: usize = 40;
+
+/// A SHA-256 hash, in bytes.
+const HASH_LEN: usize = 32;
 
 /// The hash under which a token is kept.
-pub type TokenHash = [u8; 32];
+pub type TokenHash = [u8; HASH_LEN];
+
+/// Why a tenant is not accepted.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TenantError {
+    /// The configuration defines it twice.
+    #[error("tenant '{0}' is there twice")]
+    Duplicate(String),
+    /// Its definition is invalid.
+    #[error("tenant '{tenant}': {fault}")]
+    Invalid {
+        /// The tenant's name.
+        tenant: String,
+        /// What is wrong.
+        fault: TenantFault,
+    },
+}
 
-/// Hashes a token. Tokens are long and random, so that a plain hash does: there is nothing to guess.
-pub fn hash(token: &str) -> TokenHash {
+/// What is wrong with a tenant's definition.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TenantFault {
+    /// The tenant's name.
+    #[error("a name is 1 to 40 lower-case letters, digits or hyphens")]
+    Name,
+    /// No plan has this name.
+    #[error("unknown plan '{0}'")]
+    UnknownPlan(String),
+    /// The name of a volume.
+    #[error("'{0}' is not allowed as a volume's name")]
+    VolumeName(String),
+    /// There is no rack, or one has an invalid name.
+    #[error("racks must name one rack or more")]
+    Racks,
+    /// The token's hash cannot be parsed.
+    #[error("token_sha256 must be 64 hex digits")]
+    TokenHash,
+    /// The token identifies another tenant.
+    #[error("another tenant has the same token")]
+    TokenInUse,
+}
+
+/// Hashes a token. Tokens are long and random, so a plain hash suffices: there is nothing to guess.
+pub fn hash_token(token: &str) -> TokenHash {
     Sha256::digest(token.as_bytes()).into()
 }
 
-/// Reads a hash of 64 hex digits.
-pub fn decode_hash(text: &str) -> Option<TokenHash> {
-    let bytes: Option<Vec<u8>> = match text.is_ascii() && text.len() == 64 {
-        true => (0..32).map(|i| u8::from_str_radix(&text[2 * i..2 * i + 2], 16).ok()).collect(),
-        false => None,
-    };
-    bytes?.try_into().ok()
+/// Parses a hash of 64 hex digits.
+pub fn parse_token_hash(text: &str) -> Option<TokenHash> {
+    if !text.is_ascii() || text.len() != 2 * HASH_LEN {
+        return None;
+    }
+    let bytes = (0..HASH_LEN).map(|index| u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok());
+    bytes.collect::<Option<Vec<u8>>>()?.try_into().ok()
+}
+
+/// Hashes fields, which their lengths keep apart.
+pub fn hash_fields(fields: &[&str]) -> [u8; HASH_LEN] {
+    let mut hash = Sha256::new();
+    for field in fields {
+        hash.update((field.len() as u64).to_be_bytes());
+        hash.update(field.as_bytes());
+    }
+    hash.finalize().into()
 }
 
 /// A tenant.
@@ -31,125 +88,114 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its plan's number.
+    /// The number of its plan.
     pub plan: usize,
-    /// Its volumes.
+    /// Its volumes: the buckets of the object API.
     pub volumes: Vec<String>,
-    /// Its racks.
+    /// The racks that hold its objects.
     pub racks: Vec<String>,
     token: TokenHash,
 }
 
 impl Tenant {
-    /// The rack that holds an object: the tenant's rack with the highest hash of rack and object, so that
-    /// every gateway finds the same and only objects of a rack that goes move elsewhere.
+    /// The rack that holds an object, by rendezvous hashing: the tenant's rack with the highest hash of rack
+    /// and object. Every gateway finds the same rack, and when a rack is removed only its own objects
+    /// migrate.
     pub fn rack(&self, bucket: &str, key: &str) -> Option<&String> {
-        self.racks.iter().max_by_key(|rack| digest(&[rack, &self.name, bucket, key]))
+        self.racks.iter().max_by_key(|rack| hash_fields(&[rack, &self.name, bucket, key]))
     }
 }
 
-/// A digest of fields, kept apart by their lengths.
-pub fn digest(fields: &[&str]) -> TokenHash {
-    let mut hash = Sha256::new();
-    for field in fields {
-        hash.update((field.len() as u64).to_be_bytes());
-        hash.update(field.as_bytes());
-    }
-    hash.finalize().into()
-}
-
-/// The tenants, by name.
+/// The tenants, by name. Clones share one registry.
 #[derive(Clone)]
-pub struct Tenants {
+pub struct TenantRegistry {
     plans: Rc<Vec<String>>,
-    all: Rc<RefCell<BTreeMap<String, Rc<Tenant>>>>,
+    tenants: Rc<RefCell<BTreeMap<String, Rc<Tenant>>>>,
 }
 
-impl Tenants {
-    /// The tenants of a configuration.
-    pub fn new(plans: Vec<String>, texts: Vec<TenantDefinition>) -> Result<Tenants, String> {
-        let tenants = Tenants { plans: Rc::new(plans), all: Rc::default() };
-        for text in texts {
-            if tenants.all.borrow().contains_key(&text.name) {
-                return Err(format!("tenant '{}' is there twice", text.name));
+impl TenantRegistry {
+    /// The tenants of a configuration, and the names of the plans, in the order of their numbers.
+    ///
+    /// # Errors
+    ///
+    /// If a definition is invalid, or a tenant is defined twice.
+    pub fn new(plans: Vec<String>, definitions: Vec<TenantDefinition>) -> Result<Self, TenantError> {
+        let registry = TenantRegistry { plans: Rc::new(plans), tenants: Rc::default() };
+        for definition in definitions {
+            if registry.tenants.borrow().contains_key(&definition.name) {
+                return Err(TenantError::Duplicate(definition.name));
             }
-            tenants.put(text)?;
+            registry.put(definition)?;
         }
-        Ok(tenants)
+        Ok(registry)
     }
 
-    /// Sets or replaces a tenant; one that is wrong changes nothing.
-    pub fn put(&self, text: TenantDefinition) -> Result<(), String> {
-        let TenantDefinition { name, plan, volumes, racks, token_sha256 } = text;
-        let wrong = |what: String| Err(format!("tenant '{name}': {what}"));
-        let named = name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-');
-        if !named || name.is_empty() || name.len() > 40 {
-            return wrong("a name is 1 to 40 lower-case letters, digits or hyphens".into());
+    /// Adds or replaces a tenant.
+    ///
+    /// # Errors
+    ///
+    /// If the definition is invalid; then nothing changes.
+    pub fn put(&self, definition: TenantDefinition) -> Result<(), TenantError> {
+        let name = definition.name.clone();
+        let tenant = self
+            .validate(definition)
+            .map_err(|fault| TenantError::Invalid { tenant: name.clone(), fault })?;
+        self.tenants.borrow_mut().insert(name, Rc::new(tenant));
+        Ok(())
+    }
+
+    fn validate(&self, definition: TenantDefinition) -> Result<Tenant, TenantFault> {
+        let TenantDefinition { name, plan, volumes, racks, token_sha256 } = definition;
+        if !is_tenant_name(&name) {
+            return Err(TenantFault::Name);
         }
-        let Some(plan) = self.plans.iter().position(|p| *p == plan) else {
-            return wrong(format!("unknown plan '{plan}'"));
+        let Some(plan) = self.plans.iter().position(|known| *known == plan) else {
+            return Err(TenantFault::UnknownPlan(plan));
         };
-        let bad = |v: &&String| !bucket_allowed(v) || RESERVED.contains(&v.as_str());
-        if let Some(volume) = volumes.iter().find(bad) {
-            return wrong(format!("'{volume}' is not allowed as a volume's name"));
+        if let Some(volume) = volumes.iter().find(|volume| !is_volume_name(volume)) {
+            return Err(TenantFault::VolumeName(volume.clone()));
         }
-        if racks.is_empty() || !racks.iter().all(|r| plain_name(r)) {
-            return wrong("racks must name one rack or more".into());
+        if racks.is_empty() || !racks.iter().all(|rack| plain_name(rack)) {
+            return Err(TenantFault::Racks);
         }
-        let Some(token) = decode_hash(&token_sha256) else {
-            return wrong("token_sha256 must be 64 hex digits".into());
-        };
-        if self.all.borrow().values().any(|t| t.token == token && t.name != name) {
-            return wrong("another tenant has the same token".into());
+        let token = parse_token_hash(&token_sha256).ok_or(TenantFault::TokenHash)?;
+        if self.tenants.borrow().values().any(|other| other.token == token && other.name != name) {
+            return Err(TenantFault::TokenInUse);
         }
-        let tenant = Tenant { name: name.clone(), plan, volumes, racks, token };
-        self.all.borrow_mut().insert(name, Rc::new(tenant));
-        Ok(())
+        Ok(Tenant { name, plan, volumes, racks, token })
     }
 
-    /// Removes a tenant; whether it was there.
+    /// Removes a tenant; returns whether it existed.
     pub fn remove(&self, name: &str) -> bool {
-        self.all.borrow_mut().remove(name).is_some()
+        self.tenants.borrow_mut().remove(name).is_some()
     }
 
-    /// The tenant whose token this is. Hashes are compared, so the time taken tells nothing of a token.
+    /// The tenant with this token. Hashes are compared, so the time taken reveals nothing of a token.
     pub fn with_token(&self, token: &str) -> Option<Rc<Tenant>> {
-        let token = hash(token);
-        self.all.borrow().values().find(|t| t.token == token).cloned()
+        let token = hash_token(token);
+        self.tenants.borrow().values().find(|tenant| tenant.token == token).cloned()
     }
 
-    /// The tenants as the administration tells them.
+    /// The tenants as the administration API shows them.
     pub fn views(&self) -> Vec<TenantView> {
-        let view = |t: &Rc<Tenant>| TenantView {
-            name: t.name.clone(),
-            plan: self.plans[t.plan].clone(),
-            volumes: t.volumes.clone(),
-            racks: t.racks.clone(),
+        let view = |tenant: &Rc<Tenant>| TenantView {
+            name: tenant.name.clone(),
+            plan: self.plans[tenant.plan].clone(),
+            volumes: tenant.volumes.clone(),
+            racks: tenant.racks.clone(),
         };
-        self.all.borrow().values().map(view).collect()
+        self.tenants.borrow().values().map(view).collect()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_object_stays_on_its_rack_when_another_rack_goes() {
-        let mut tenant = Tenant {
-            name: "uni".into(),
-            plan: 0,
-            volumes: vec![],
-            racks: vec!["r1".into(), "r2".into(), "r3".into()],
-            token: hash("t"),
-        };
-        let keys: Vec<String> = (0..60).map(|n| format!("k{n}")).collect();
-        let homes: Vec<_> = keys.iter().map(|k| tenant.rack("b", k).unwrap().clone()).collect();
-        assert!(tenant.racks.iter().all(|r| homes.contains(r)));
-        tenant.racks.reverse();
-        tenant.racks.retain(|r| r != "r2");
-        for (key, home) in keys.iter().zip(homes).filter(|(_, home)| home != "r2") {
-            assert_eq!(*tenant.rack("b", key).unwrap(), home);
-        }
-    }
+fn is_tenant_name(name: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    (1..=MAX_NAME_LEN).contains(&name.len()) && name.bytes().all(allowed)
 }
+
+fn is_volume_name(name: &str) -> bool {
+    bucket_allowed(name) && !RESERVED_VOLUME_NAMES.contains(&name)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/gateway/tenants/tests.rs
@@ -0,0 +1,20 @@
+use super::*;
+
+#[test]
+fn an_object_stays_on_its_rack_when_another_rack_goes() {
+    let mut tenant = Tenant {
+        name: "uni".into(),
+        plan: 0,
+        volumes: vec![],
+        racks: vec!["r1".into(), "r2".into(), "r3".into()],
+        token: hash_token("t"),
+    };
+    let keys: Vec<String> = (0..60).map(|n| format!("k{n}")).collect();
+    let homes: Vec<_> = keys.iter().map(|k| tenant.rack("b", k).unwrap().clone()).collect();
+    assert!(tenant.racks.iter().all(|r| homes.contains(r)));
+    tenant.racks.reverse();
+    tenant.racks.retain(|r| r != "r2");
+    for (key, home) in keys.iter().zip(homes).filter(|(_, home)| home != "r2") {
+        assert_eq!(*tenant.rack("b", key).unwrap(), home);
+    }
+}
