--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -1,37 +1,77 @@
+//! The front end for the administration API.
+
+use super::frontend::add_bearer_challenge;
 use super::inventory::{InventoryCommand, ReloadError};
 use super::metrics::GatewayMetrics;
 use super::tenants::{TenantRegistry, TokenHash, hash_token};
-use crate::protocol::admin::{self, AdminRequest, AdminRequestError, TenantDefinition};
+use crate::protocol::admin::{self, AdminRequest, AdminRequestError, NodeView, TenantDefinition};
 use crate::protocol::object::bearer_token;
 use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, full_body};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
-use hyper::{Request, Response, StatusCode};
+use hyper::{HeaderMap, Request, Response, StatusCode};
 use serde_json::{Value, json};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-const BODY_MOST: usize = 64 * 1024;
+/// The longest body of a request, in bytes.
+const MAX_BODY_LEN: usize = 64 * 1024;
 
-/// The administration's front.
+/// The front end for the administration API.
 pub struct AdminFrontend {
-    /// The hash of its token.
+    /// The hash of the administration's token.
     pub token: TokenHash,
     /// The tenants.
     pub tenants: TenantRegistry,
-    /// The list's actor.
+    /// Commands to the inventory's actor.
     pub inventory: mpsc::UnboundedSender<InventoryCommand>,
-    /// The metrics.
+    /// The counters.
     pub metrics: Rc<GatewayMetrics>,
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
 }
 
-type Said = (StatusCode, Value);
+/// The answer to a request.
+struct AdminResponse {
+    status: StatusCode,
+    body: Value,
+}
+
+impl AdminResponse {
+    fn ok(body: Value) -> Self {
+        AdminResponse { status: StatusCode::OK, body }
+    }
+
+    fn error(status: StatusCode, text: impl Into<String>) -> Self {
+        AdminResponse { status, body: json!({"error": text.into()}) }
+    }
 
-fn error(status: StatusCode, text: impl Into<String>) -> Said {
-    (status, json!({"error": text.into()}))
+    /// The inventory's actor has ended, as the program is shutting down.
+    fn stopping() -> Self {
+        Self::error(StatusCode::SERVICE_UNAVAILABLE, "stopping")
+    }
+}
+
+impl From<AdminRequestError> for AdminResponse {
+    fn from(error: AdminRequestError) -> Self {
+        match error {
+            AdminRequestError::Path => Self::error(StatusCode::NOT_FOUND, "no such path"),
+            AdminRequestError::Method => Self::error(StatusCode::METHOD_NOT_ALLOWED, "no such method here"),
+        }
+    }
+}
+
+impl From<ReloadError> for AdminResponse {
+    fn from(error: ReloadError) -> Self {
+        let text = error.to_string();
+        let places = match error {
+            ReloadError::Invalid { errors, .. } => json!(errors),
+            ReloadError::UnknownFormat { .. } | ReloadError::Unreadable { .. } => json!([]),
+        };
+        let body = json!({"error": text, "places": places});
+        AdminResponse { status: StatusCode::UNPROCESSABLE_ENTITY, body }
+    }
 }
 
 impl AdminFrontend {
@@ -41,99 +81,128 @@
         request: Request<Incoming>,
         context: RequestContext,
     ) -> Response<ResponseBody> {
-        let (status, value) = match context.admission {
-            Admission::Admitted => self.decide(request).await,
-            Admission::Overloaded => error(StatusCode::SERVICE_UNAVAILABLE, "too many connections"),
+        let AdminResponse { status, body } = match context.admission {
+            Admission::Admitted => self.serve(request).await,
+            Admission::Overloaded => {
+                AdminResponse::error(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
+            }
         };
-        let mut response = Response::new(full_body(format!("{value}\n")));
+        let mut response = Response::new(full_body(format!("{body}\n")));
         *response.status_mut() = status;
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         if status == StatusCode::UNAUTHORIZED {
-            response.headers_mut().insert("www-authenticate", HeaderValue::from_static("Bearer"));
+            add_bearer_challenge(response.headers_mut());
         }
         response
     }
 
-    async fn decide(&self, request: Request<Incoming>) -> Said {
-        if bearer_token(request.headers()).is_none_or(|t| hash_token(t) != self.token) {
-            return error(StatusCode::UNAUTHORIZED, "the administration's bearer token is needed");
+    async fn serve(&self, request: Request<Incoming>) -> AdminResponse {
+        if !self.is_authorized(request.headers()) {
+            let text = "the administration's bearer token is needed";
+            return AdminResponse::error(StatusCode::UNAUTHORIZED, text);
         }
-        let ask = match admin::decode(request.method().as_str(), request.uri().path()) {
-            Ok(ask) => ask,
-            Err(AdminRequestError::Path) => return error(StatusCode::NOT_FOUND, "no such path"),
-            Err(AdminRequestError::Method) => {
-                return error(StatusCode::METHOD_NOT_ALLOWED, "no such method here");
-            }
-        };
-        match ask {
-            AdminRequest::Health => match *self.phase.borrow() {
-                LifecyclePhase::Serving => (StatusCode::OK, json!({"status": "serving"})),
-                _ => (StatusCode::SERVICE_UNAVAILABLE, json!({"status": "stopping"})),
-            },
-            AdminRequest::Counters => (StatusCode::OK, json!(self.metrics.by_name())),
-            AdminRequest::Tenants => (StatusCode::OK, json!({"tenants": self.tenants.views()})),
-            AdminRequest::Tenant(name) => match self.tenants.views().into_iter().find(|t| t.name == name) {
-                Some(tenant) => (StatusCode::OK, json!(tenant)),
-                None => error(StatusCode::NOT_FOUND, "no such tenant"),
-            },
-            AdminRequest::PutTenant(name) => self.put_tenant(name, request.into_body()).await,
-            AdminRequest::DeleteTenant(name) if self.tenants.remove(&name) => {
-                (StatusCode::OK, json!({"removed": name}))
-            }
-            AdminRequest::DeleteTenant(_) => error(StatusCode::NOT_FOUND, "no such tenant"),
-            AdminRequest::Nodes => match self.ask(InventoryCommand::Views).await {
-                Some(nodes) => (StatusCode::OK, json!({"nodes": nodes})),
-                None => stopping(),
-            },
-            AdminRequest::Drain(name) => self.drain(name, true).await,
-            AdminRequest::Return(name) => self.drain(name, false).await,
-            AdminRequest::Reload => match self.ask(InventoryCommand::Reload).await {
-                Some(Ok(nodes)) => (StatusCode::OK, json!({"nodes": nodes})),
-                Some(Err(e)) => {
-                    let places =
-                        if let ReloadError::Wrong(_, places) = &e { json!(places) } else { json!([]) };
-                    let value = json!({"error": e.to_string(), "places": places});
-                    (StatusCode::UNPROCESSABLE_ENTITY, value)
-                }
-                None => stopping(),
-            },
+        match admin::decode(request.method().as_str(), request.uri().path()) {
+            Ok(operation) => self.execute(operation, request.into_body()).await,
+            Err(error) => error.into(),
         }
     }
 
-    async fn ask<T>(&self, mail: impl FnOnce(oneshot::Sender<T>) -> InventoryCommand) -> Option<T> {
-        let (sender, done) = oneshot::channel();
-        self.inventory.send(mail(sender)).ok()?;
-        done.await.ok()
+    fn is_authorized(&self, headers: &HeaderMap) -> bool {
+        bearer_token(headers).is_some_and(|token| hash_token(token) == self.token)
     }
 
-    async fn drain(&self, name: String, drain: bool) -> Said {
-        let state = if drain { "draining" } else { "as in the inventory" };
-        match self.ask(|done| InventoryCommand::Drain(name.clone(), drain, done)).await {
-            Some(true) => (StatusCode::OK, json!({"node": name, "state": state})),
-            Some(false) => error(StatusCode::NOT_FOUND, "no such node"),
-            None => stopping(),
+    async fn execute(&self, operation: AdminRequest, body: Incoming) -> AdminResponse {
+        match operation {
+            AdminRequest::Health => self.health(),
+            AdminRequest::Counters => AdminResponse::ok(json!(self.metrics.by_name())),
+            AdminRequest::Tenants => AdminResponse::ok(json!({"tenants": self.tenants.views()})),
+            AdminRequest::Tenant(name) => self.tenant(&name),
+            AdminRequest::PutTenant(name) => self.put_tenant(name, body).await,
+            AdminRequest::DeleteTenant(name) => self.delete_tenant(&name),
+            AdminRequest::Nodes => self.list_nodes().await,
+            AdminRequest::Drain(name) => self.set_drained(name, true).await,
+            AdminRequest::Return(name) => self.set_drained(name, false).await,
+            AdminRequest::Reload => self.reload_inventory().await,
         }
     }
 
-    async fn put_tenant(&self, name: String, body: Incoming) -> Said {
-        let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
-            return error(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or broke off");
+    fn health(&self) -> AdminResponse {
+        match *self.phase.borrow() {
+            LifecyclePhase::Serving => AdminResponse::ok(json!({"status": "serving"})),
+            _ => {
+                AdminResponse { status: StatusCode::SERVICE_UNAVAILABLE, body: json!({"status": "stopping"}) }
+            }
+        }
+    }
+
+    fn tenant(&self, name: &str) -> AdminResponse {
+        match self.tenants.views().into_iter().find(|tenant| tenant.name == name) {
+            Some(tenant) => AdminResponse::ok(json!(tenant)),
+            None => AdminResponse::error(StatusCode::NOT_FOUND, "no such tenant"),
+        }
+    }
+
+    async fn put_tenant(&self, name: String, body: Incoming) -> AdminResponse {
+        let Ok(body) = Limited::new(body, MAX_BODY_LEN).collect().await else {
+            let text = "the body is too large or broke off";
+            return AdminResponse::error(StatusCode::PAYLOAD_TOO_LARGE, text);
         };
-        let mut text: TenantDefinition = match serde_json::from_slice(&body.to_bytes()) {
-            Ok(text) => text,
-            Err(e) => return error(StatusCode::BAD_REQUEST, e.to_string()),
+        let mut definition: TenantDefinition = match serde_json::from_slice(&body.to_bytes()) {
+            Ok(definition) => definition,
+            Err(error) => return AdminResponse::error(StatusCode::BAD_REQUEST, error.to_string()),
         };
-        if !text.name.is_empty() && text.name != name {
-            return error(StatusCode::BAD_REQUEST, "the names in path and body differ");
+        if !definition.name.is_empty() && definition.name != name {
+            return AdminResponse::error(StatusCode::BAD_REQUEST, "the names in path and body differ");
         }
-        text.name.clone_from(&name);
-        match self.tenants.put(text) {
-            Ok(()) => (StatusCode::OK, json!({"tenant": name})),
-            Err(e) => error(StatusCode::BAD_REQUEST, e.to_string()),
+        definition.name.clone_from(&name);
+        match self.tenants.put(definition) {
+            Ok(()) => AdminResponse::ok(json!({"tenant": name})),
+            Err(error) => AdminResponse::error(StatusCode::BAD_REQUEST, error.to_string()),
+        }
+    }
+
+    fn delete_tenant(&self, name: &str) -> AdminResponse {
+        if self.tenants.remove(name) {
+            AdminResponse::ok(json!({"removed": name}))
+        } else {
+            AdminResponse::error(StatusCode::NOT_FOUND, "no such tenant")
+        }
+    }
+
+    async fn list_nodes(&self) -> AdminResponse {
+        let nodes: Option<Vec<NodeView>> = self.query_inventory(InventoryCommand::ListNodes).await;
+        match nodes {
+            Some(nodes) => AdminResponse::ok(json!({"nodes": nodes})),
+            None => AdminResponse::stopping(),
+        }
+    }
+
+    async fn set_drained(&self, node: String, drained: bool) -> AdminResponse {
+        let state = if drained { "draining" } else { "as in the inventory" };
+        let name = node.clone();
+        let command = |reply| InventoryCommand::SetDrained { node, drained, reply };
+        match self.query_inventory(command).await {
+            Some(true) => AdminResponse::ok(json!({"node": name, "state": state})),
+            Some(false) => AdminResponse::error(StatusCode::NOT_FOUND, "no such node"),
+            None => AdminResponse::stopping(),
         }
     }
-}
 
-fn stopping() -> Said {
-    error(StatusCode::SERVICE_UNAVAILABLE, "stopping")
+    async fn reload_inventory(&self) -> AdminResponse {
+        match self.query_inventory(InventoryCommand::Reload).await {
+            Some(Ok(node_count)) => AdminResponse::ok(json!({"nodes": node_count})),
+            Some(Err(error)) => error.into(),
+            None => AdminResponse::stopping(),
+        }
+    }
+
+    /// Sends a command to the inventory's actor and awaits its reply; none if the actor has ended.
+    async fn query_inventory<T>(
+        &self,
+        command: impl FnOnce(oneshot::Sender<T>) -> InventoryCommand,
+    ) -> Option<T> {
+        let (sender, reply) = oneshot::channel();
+        self.inventory.send(command(sender)).ok()?;
+        reply.await.ok()
+    }
 }
--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory.rs
@@ -1,3 +1,6 @@
+//! The inventory of storage nodes, which takes the place of discovery where an operator runs the gateway: an
+//! actor publishes the file's endpoints and their changes.
+
 use super::node_registry::NodeRegistry;
 use crate::protocol::admin::NodeView;
 use crate::protocol::endpoint_list::{EndpointRecord, ListKind};
@@ -6,141 +9,190 @@
 use crate::scheduler::{EndpointState, EndpointUpdate, ShardId};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Why an inventory was not taken; the one before stays.
+/// Why an inventory file is not accepted; the previous inventory stays in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// Neither CSV nor YAML by its name.
-    #[error("{0}: the name must end in .csv, .yaml or .yml")]
-    Format(String),
-    /// It cannot be read.
-    #[error("{0}: {1}")]
-    Unreadable(String, std::io::Error),
-    /// It is wrong in these places.
-    #[error("{0}: {places}", places = .1.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
-    Wrong(String, Vec<InventoryError>),
+    /// The file's name says neither CSV nor YAML.
+    #[error("{path}: the name must end in .csv, .yaml or .yml")]
+    UnknownFormat {
+        /// The file.
+        path: String,
+    },
+    /// The file cannot be read.
+    #[error("{path}: {cause}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// The error.
+        cause: std::io::Error,
+    },
+    /// The file's content is invalid.
+    #[error("{path}: {places}", places = join_errors(.errors))]
+    Invalid {
+        /// The file.
+        path: String,
+        /// Every place that is invalid.
+        errors: Vec<InventoryError>,
+    },
+}
+
+fn join_errors(errors: &[InventoryError]) -> String {
+    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 /// Reads an inventory file.
-pub fn read(path: &std::path::Path) -> Result<Vec<InventoryNode>, ReloadError> {
+///
+/// # Errors
+///
+/// If the file cannot be read, or any part of it is invalid.
+pub fn read(path: &Path) -> Result<Vec<InventoryNode>, ReloadError> {
     let name = path.display().to_string();
-    let Some(format) = Format::of(path) else { return Err(ReloadError::Format(name)) };
+    let Some(format) = Format::of(path) else { return Err(ReloadError::UnknownFormat { path: name }) };
     match std::fs::read_to_string(path) {
-        Ok(text) => inventory::decode(&text, format).map_err(|e| ReloadError::Wrong(name, e)),
-        Err(e) => Err(ReloadError::Unreadable(name, e)),
+        Ok(text) => {
+            inventory::decode(&text, format).map_err(|errors| ReloadError::Invalid { path: name, errors })
+        }
+        Err(cause) => Err(ReloadError::Unreadable { path: name, cause }),
     }
 }
 
-/// The racks that have been named, numbered as the scheduler's shards. A rack keeps its number.
+/// The racks that have been named, numbered as the scheduler's shards. A rack keeps its number. Clones share
+/// one registry.
 #[derive(Clone, Default)]
 pub struct RackRegistry(Rc<RefCell<Vec<String>>>);
 
 impl RackRegistry {
-    /// The number of a rack.
+    /// The number of a rack; a new rack gets the next one.
     pub fn shard(&self, rack: &str) -> ShardId {
-        let mut all = self.0.borrow_mut();
-        let at = all.iter().position(|r| r == rack).unwrap_or_else(|| {
-            all.push(rack.into());
-            all.len() - 1
+        let mut racks = self.0.borrow_mut();
+        let index = racks.iter().position(|known| known == rack).unwrap_or_else(|| {
+            racks.push(rack.into());
+            racks.len() - 1
         });
-        ShardId(at as u32)
+        ShardId(index as u32)
     }
 }
 
-/// What the list's actor is asked.
+/// A command to the inventory's actor.
 pub enum InventoryCommand {
-    /// Read the file anew: how many hosts it names.
+    /// Read the file again; replies with the number of storage nodes that it names.
     Reload(oneshot::Sender<Result<usize, ReloadError>>),
-    /// Drain a node, or put it back: whether there is such a node.
-    Drain(String, bool, oneshot::Sender<bool>),
-    /// All nodes.
-    Views(oneshot::Sender<Vec<NodeView>>),
+    /// Drain a storage node, or put it back as the file has it.
+    SetDrained {
+        /// The node's name.
+        node: String,
+        /// Whether to drain it.
+        drained: bool,
+        /// Replies whether there is such a node.
+        reply: oneshot::Sender<bool>,
+    },
+    /// List all storage nodes.
+    ListNodes(oneshot::Sender<Vec<NodeView>>),
 }
 
-/// The list's actor where an inventory takes discovery's place.
+/// The actor that owns the inventory and the operator's drains.
 pub struct InventoryActor<P, R> {
     /// The file.
     pub path: PathBuf,
-    /// What it holds.
+    /// The storage nodes that it names.
     pub hosts: Vec<InventoryNode>,
-    /// The racks.
+    /// The racks, numbered as the scheduler's shards.
     pub racks: RackRegistry,
-    /// Who is told.
+    /// The storage nodes' connection pools.
     pub nodes: NodeRegistry,
-    /// The core.
+    /// Where endpoint updates go.
     pub router: RouterHandle<P, R>,
 }
 
 impl<P, R> InventoryActor<P, R> {
-    /// Tells the inventory, and its changes.
-    pub async fn run(mut self, mut mailbox: mpsc::UnboundedReceiver<InventoryCommand>) {
+    /// Publishes the inventory, then handles commands until nobody can send any.
+    pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<InventoryCommand>) {
         let mut drained = BTreeSet::new();
-        self.tell(&drained);
-        while let Some(mail) = mailbox.recv().await {
-            // Whoever asked may have left: then nobody is to be told.
-            match mail {
-                InventoryCommand::Reload(done) => {
-                    let read = read(&self.path).map(|hosts| {
-                        self.hosts = hosts;
-                        drained.retain(|name| self.hosts.iter().any(|h| h.name == *name));
-                        self.tell(&drained);
-                        self.hosts.len()
-                    });
-                    let _ = done.send(read);
-                }
-                InventoryCommand::Drain(name, drain, done) => {
-                    let known = self.hosts.iter().any(|h| h.name == name);
-                    if drain && known {
-                        drained.insert(name);
-                    } else {
-                        drained.remove(&name);
-                    }
-                    self.tell(&drained);
-                    let _ = done.send(known);
-                }
-                InventoryCommand::Views(done) => {
-                    let _ = done.send(self.hosts.iter().map(|h| view(h, &drained)).collect());
-                }
+        self.publish(&drained);
+        while let Some(command) = commands.recv().await {
+            self.handle_command(command, &mut drained);
+        }
+    }
+
+    /// Whoever sent a command may have left; then nobody takes the reply.
+    fn handle_command(&mut self, command: InventoryCommand, drained: &mut BTreeSet<String>) {
+        match command {
+            InventoryCommand::Reload(reply) => {
+                let _ = reply.send(self.reload(drained));
+            }
+            InventoryCommand::SetDrained { node, drained: drain, reply } => {
+                let _ = reply.send(self.set_drained(node, drain, drained));
+            }
+            InventoryCommand::ListNodes(reply) => {
+                let _ = reply.send(self.hosts.iter().map(|node| view(node, drained)).collect());
             }
         }
     }
 
-    fn tell(&self, drained: &BTreeSet<String>) {
-        let endpoint = |h: &InventoryNode| EndpointRecord {
-            name: h.name.clone(),
-            address: h.address,
-            zone: h.room.clone(),
-            shard: self.racks.shard(&h.rack),
-            state: state(h, drained),
-            started_at_us: h.started_at_us,
-        };
-        let endpoints: Vec<_> = self.hosts.iter().map(endpoint).collect();
-        self.router
-            .endpoints_updated(EndpointUpdate::Snapshot(self.nodes.apply(ListKind::Snapshot, &endpoints)));
+    /// Reads the file again; a node that it no longer names is no longer drained either.
+    fn reload(&mut self, drained: &mut BTreeSet<String>) -> Result<usize, ReloadError> {
+        self.hosts = read(&self.path)?;
+        drained.retain(|name| self.names(name));
+        self.publish(drained);
+        Ok(self.hosts.len())
+    }
+
+    /// Drains a node, or puts it back; returns whether the inventory names it.
+    fn set_drained(&self, node: String, drain: bool, drained: &mut BTreeSet<String>) -> bool {
+        let known = self.names(&node);
+        if drain && known {
+            drained.insert(node);
+        } else {
+            drained.remove(&node);
+        }
+        self.publish(drained);
+        known
+    }
+
+    fn names(&self, name: &str) -> bool {
+        self.hosts.iter().any(|node| node.name == name)
+    }
+
+    fn publish(&self, drained: &BTreeSet<String>) {
+        let records: Vec<_> = self.hosts.iter().map(|node| self.endpoint_record(node, drained)).collect();
+        let endpoints = self.nodes.apply(ListKind::Snapshot, &records);
+        self.router.endpoints_updated(EndpointUpdate::Snapshot(endpoints));
+    }
+
+    fn endpoint_record(&self, node: &InventoryNode, drained: &BTreeSet<String>) -> EndpointRecord {
+        EndpointRecord {
+            name: node.name.clone(),
+            address: node.address,
+            zone: node.room.clone(),
+            shard: self.racks.shard(&node.rack),
+            state: state(node, drained),
+            started_at_us: node.started_at_us,
+        }
     }
 }
 
-fn state(host: &InventoryNode, drained: &BTreeSet<String>) -> EndpointState {
-    match host.state {
-        EndpointState::Ready if drained.contains(&host.name) => EndpointState::Draining,
+fn state(node: &InventoryNode, drained: &BTreeSet<String>) -> EndpointState {
+    match node.state {
+        EndpointState::Ready if drained.contains(&node.name) => EndpointState::Draining,
         state => state,
     }
 }
 
-fn view(host: &InventoryNode, drained: &BTreeSet<String>) -> NodeView {
+fn view(node: &InventoryNode, drained: &BTreeSet<String>) -> NodeView {
     NodeView {
-        name: host.name.clone(),
-        address: host.address.to_string(),
-        room: host.room.clone(),
-        rack: host.rack.clone(),
-        state: match state(host, drained) {
+        name: node.name.clone(),
+        address: node.address.to_string(),
+        room: node.room.clone(),
+        rack: node.rack.clone(),
+        state: match state(node, drained) {
             EndpointState::Ready => "ready",
             EndpointState::Draining => "draining",
             EndpointState::Removed => "gone",
         },
-        drained_here: drained.contains(&host.name),
+        drained_here: drained.contains(&node.name),
     }
 }
