--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -14,9 +14,6 @@
 /// How long a client may take over a body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// When a client should come back that is rejected for want of connections or memory, in microseconds.
-pub(super) const OVERLOAD_RETRY_AFTER_US: u64 = 1_000_000;
-
 /// Bytes to a permit of [`BodyMemory`].
 const BYTES_PER_PERMIT: u64 = 1024;
 
@@ -53,13 +50,13 @@
         };
         self.memory.try_reserve(bytes).ok_or_else(|| {
             self.metrics.overload.increment();
-            Rejection::slow_down(Some(OVERLOAD_RETRY_AFTER_US))
+            Rejection::overloaded()
         })
     }
 
     fn request_body_len(&self, request: &ObjectRequest) -> Result<u64, Rejection> {
         let length = request.length.ok_or_else(missing_content_length)?;
-        if length > self.limits.body_most {
+        if length > self.limits.max_body_len {
             self.metrics.bodies_too_large.increment();
             return Err(ApiError::too_large().into());
         }
@@ -84,7 +81,7 @@
 fn buffered_response_len(request: &ObjectRequest, limits: &ObjectLimits) -> u64 {
     match &request.operation {
         Operation::Read { head: false, range } => {
-            range.as_ref().and_then(|range| range.max_len()).unwrap_or(u64::MAX).min(limits.buffer)
+            range.as_ref().and_then(|range| range.max_len()).unwrap_or(u64::MAX).min(limits.max_buffered_len)
         }
         _ => 0,
     }
--- /dev/null
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -0,0 +1,69 @@
+//! What the router gets of a request: its class, size, shard and deadline.
+
+use super::routed_request::RoutedRequest;
+use super::{ObjectClass, ObjectFrontend};
+use crate::gateway::frontend::RESPONSE_MARGIN_US;
+use crate::gateway::tenants::hash_fields;
+use crate::protocol::client_request::parse_timeout;
+use crate::protocol::object::{ApiError, ObjectRequest, Operation};
+use crate::scheduler::{BlockId, IncomingRequest, RequestId, VolumeId};
+use bytes::Bytes;
+use hyper::HeaderMap;
+
+impl ObjectFrontend {
+    /// What the router gets of a request with this body.
+    pub(super) fn incoming_request(
+        &self,
+        routed: &RoutedRequest,
+        body: &Bytes,
+    ) -> Result<IncomingRequest, ApiError> {
+        let RoutedRequest { tenant, request, .. } = routed;
+        let class = ObjectClass::of(&request.operation);
+        let expires_at_us = self.expires_at_us(class, routed)?;
+        Ok(IncomingRequest {
+            id: RequestId(0),
+            class: class.index(),
+            plan: tenant.plan,
+            volume: VolumeId(hash_to_u64(&[&tenant.name, &request.bucket])),
+            volume_gateways: self.limits.gateway_count as f64,
+            block: Some(BlockId(hash_to_u64(&[&tenant.name, &request.bucket, &request.key]))),
+            shard: Some(self.racks.shard(&routed.rack)),
+            units: self.units(request, body) as f64,
+            expires_at_us,
+        })
+    }
+
+    /// When a request must be answered. The time that the client states counts from the request's head;
+    /// without it, the class's time counts from the end of the body.
+    fn expires_at_us(&self, class: ObjectClass, routed: &RoutedRequest) -> Result<u64, ApiError> {
+        let deadline_us = self.limits.deadline_us(class);
+        let stated_us = match client_timeout_us(&routed.headers)? {
+            Some(timeout_us) => routed.received_at_us + timeout_us.min(deadline_us),
+            None => u64::MAX,
+        };
+        Ok(stated_us.min(self.clock.now_us() + deadline_us) - RESPONSE_MARGIN_US)
+    }
+
+    /// The size of a request in the scheduler's units, by the range that it reads or by its body.
+    fn units(&self, request: &ObjectRequest, body: &Bytes) -> u64 {
+        let length = match &request.operation {
+            Operation::Read { range: Some(range), .. } => range.max_len().unwrap_or(self.limits.unit_len),
+            _ => body.len() as u64,
+        };
+        1 + (length / self.limits.unit_len).min(self.limits.max_units.saturating_sub(1))
+    }
+}
+
+fn hash_to_u64(fields: &[&str]) -> u64 {
+    let hash = hash_fields(fields);
+    hash.first_chunk().map_or(0, |first: &[u8; 8]| u64::from_be_bytes(*first))
+}
+
+/// How long the client says that it waits, in microseconds.
+fn client_timeout_us(headers: &HeaderMap) -> Result<Option<u64>, ApiError> {
+    let Some(value) = headers.get("req-deadline") else { return Ok(None) };
+    match value.to_str().ok().and_then(parse_timeout) {
+        Some(timeout_us) => Ok(Some(timeout_us)),
+        None => Err(ApiError::invalid("Req-Deadline is malformed.")),
+    }
+}
--- a/src/gateway/object_frontend/limits.rs
+++ b/src/gateway/object_frontend/limits.rs
@@ -1,5 +1,6 @@
 //! The limits of the object API, and its request classes.
 
+use crate::protocol::object::Operation;
 use std::time::Duration;
 
 /// The classes of the object API's requests; the scheduler's settings list them in this order.
@@ -12,6 +13,11 @@
 }
 
 impl ObjectClass {
+    /// The class of requests for this operation.
+    pub fn of(operation: &Operation) -> Self {
+        if operation.writes() { ObjectClass::Write } else { ObjectClass::Read }
+    }
+
     /// The class's number in the scheduler's settings.
     pub fn index(self) -> usize {
         self as usize
@@ -22,18 +28,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectLimits {
     /// The longest body of a request, in bytes.
-    pub body_most: u64,
+    pub max_body_len: u64,
     /// The longest response, in bytes, that is read completely before the client gets any of it, so that a
     /// failed attempt can be retried.
-    pub buffer: u64,
+    pub max_buffered_len: u64,
     /// A response of which nothing has come for so long has stalled.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Bytes to a unit of the scheduler.
-    pub unit: u64,
+    pub unit_len: u64,
     /// The most units that a request counts for.
-    pub most_units: u64,
+    pub max_units: u64,
     /// How many gateways serve the tenants.
-    pub gateways: usize,
+    pub gateway_count: usize,
     /// How long each class's clients wait, in microseconds; indexed by [`ObjectClass`].
-    pub deadlines: [u64; 2],
+    pub deadlines_us: [u64; 2],
+}
+
+impl ObjectLimits {
+    /// How long this class's clients wait, in microseconds.
+    pub fn deadline_us(&self, class: ObjectClass) -> u64 {
+        self.deadlines_us[class.index()]
+    }
 }
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -2,6 +2,7 @@
 
 mod body;
 mod idempotency;
+mod incoming_request;
 mod limits;
 mod rejection;
 mod response;
@@ -19,7 +20,6 @@
 use crate::protocol::object::{ApiError, UploadKey, header_value};
 use crate::routing::{Clock, FinalAnswer, RouterHandle};
 use crate::transport::{Admission, GuardedBody, LifecyclePhase, RequestContext, ResponseBody, full_body};
-use body::OVERLOAD_RETRY_AFTER_US;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
@@ -88,7 +88,7 @@
     ) -> Result<Response<ResponseBody>, Rejection> {
         if admission == Admission::Overloaded {
             self.metrics.overload.increment();
-            return Err(Rejection::slow_down(Some(OVERLOAD_RETRY_AFTER_US)));
+            return Err(Rejection::overloaded());
         }
         let received_at_us = self.clock.now_us();
         let (head, body) = request.into_parts();
--- a/src/gateway/object_frontend/rejection.rs
+++ b/src/gateway/object_frontend/rejection.rs
@@ -6,6 +6,9 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
+/// When a client should come back that is rejected for want of connections or memory, in microseconds.
+const OVERLOAD_RETRY_AFTER_US: u64 = 1_000_000;
+
 /// An error, and when the client should come back.
 #[derive(Debug)]
 pub struct Rejection {
@@ -27,6 +30,11 @@
         Rejection { error: ApiError::slow_down(), retry_after_us }
     }
 
+    /// Too many connections are open, or too much memory is reserved.
+    pub fn overloaded() -> Self {
+        Rejection::slow_down(Some(OVERLOAD_RETRY_AFTER_US))
+    }
+
     /// The answer to a request for this resource. The answer to a HEAD request has no body.
     pub fn into_response(self, head_only: bool, resource: &str, request_id: &str) -> Response<ResponseBody> {
         let Rejection { error, retry_after_us } = self;
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -23,7 +23,7 @@
         return Err(client_error(&head, &body).into());
     }
     let xml = match &routed.request.operation {
-        Operation::Initiate => initiated(&body, &routed, upload_key),
+        Operation::Initiate => initiated(&body, routed, upload_key),
         Operation::Complete(_) => completed(&body, &routed.request)?,
         Operation::ListParts(upload, _) => listing(&body, &routed.request, upload),
         _ => return Ok(forwarded_response(&head, full_body(body))),
@@ -52,11 +52,12 @@
     error
 }
 
-fn initiated(body: &Bytes, routed: &RoutedRequest, upload_key: &UploadKey) -> Option<String> {
+fn initiated(body: &Bytes, routed: RoutedRequest, upload_key: &UploadKey) -> Option<String> {
+    let RoutedRequest { tenant, request, rack, .. } = routed;
     let node_id = decode_initiated(body)?;
-    let upload = Upload { rack: routed.rack.clone(), node_id };
-    let id = upload_key.sign(routed.place(), &upload);
-    Some(encode_initiated(&routed.request.bucket, &routed.request.key, &id))
+    let place = [tenant.name.as_str(), &request.bucket, &request.key];
+    let id = upload_key.sign(place, &Upload { rack, node_id });
+    Some(encode_initiated(&request.bucket, &request.key, &id))
 }
 
 /// S3 may begin a completion with status 200 and end it with an error.
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -1,15 +1,12 @@
-//! A client's request whose tenant and rack are known, and what the router and a storage node get of it.
+//! A client's request whose tenant and rack are known, and the request to a storage node that it becomes.
 
 use super::idempotency::idempotency_key;
-use super::{ObjectClass, ObjectFrontend, Rejection};
-use crate::gateway::frontend::RESPONSE_MARGIN_US;
-use crate::gateway::tenants::{Tenant, hash_fields};
-use crate::protocol::client_request::parse_timeout;
+use super::{ObjectFrontend, Rejection};
+use crate::gateway::tenants::Tenant;
 use crate::protocol::object::{
     ApiError, NodeRequest, ObjectRequest, Operation, Upload, bearer_token, decode, decode_complete,
     encode_complete, header_value,
 };
-use crate::scheduler::{BlockId, IncomingRequest, RequestId, VolumeId};
 use bytes::Bytes;
 use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
@@ -28,11 +25,6 @@
 }
 
 impl RoutedRequest {
-    /// The tenant, bucket and key, which an upload id is signed for.
-    pub fn place(&self) -> [&str; 3] {
-        [&self.tenant.name, &self.request.bucket, &self.request.key]
-    }
-
     /// The request to a storage node.
     pub fn node_request(&self, body: Bytes, request_id: &str) -> Result<NodeRequest, ApiError> {
         let body = match self.request.operation {
@@ -51,19 +43,6 @@
         }
         Ok(node_request)
     }
-
-    fn class(&self) -> ObjectClass {
-        if self.request.operation.writes() { ObjectClass::Write } else { ObjectClass::Read }
-    }
-
-    /// How long the client says that it waits, in microseconds.
-    fn client_timeout_us(&self) -> Result<Option<u64>, ApiError> {
-        let Some(value) = self.headers.get("req-deadline") else { return Ok(None) };
-        match value.to_str().ok().and_then(parse_timeout) {
-            Some(timeout_us) => Ok(Some(timeout_us)),
-            None => Err(ApiError::invalid("Req-Deadline is malformed.")),
-        }
-    }
 }
 
 impl ObjectFrontend {
@@ -90,51 +69,4 @@
         let place = [tenant.name.as_str(), &request.bucket, &request.key];
         self.key.verify(place, id).map(Some).ok_or_else(ApiError::no_upload)
     }
-
-    /// What the router gets of a request with this body.
-    pub(super) fn incoming_request(
-        &self,
-        routed: &RoutedRequest,
-        body: &Bytes,
-    ) -> Result<IncomingRequest, ApiError> {
-        let RoutedRequest { tenant, request, .. } = routed;
-        let class = routed.class().index();
-        let expires_at_us = self.expires_at_us(class, routed)?;
-        Ok(IncomingRequest {
-            id: RequestId(0),
-            class,
-            plan: tenant.plan,
-            volume: VolumeId(hash_to_u64(&[&tenant.name, &request.bucket])),
-            volume_gateways: self.limits.gateways as f64,
-            block: Some(BlockId(hash_to_u64(&[&tenant.name, &request.bucket, &request.key]))),
-            shard: Some(self.racks.shard(&routed.rack)),
-            units: self.units(request, body) as f64,
-            expires_at_us,
-        })
-    }
-
-    /// When a request must be answered. The time that the client states counts from the request's head;
-    /// without it, the class's time counts from the end of the body.
-    fn expires_at_us(&self, class: usize, routed: &RoutedRequest) -> Result<u64, ApiError> {
-        let deadline_us = self.limits.deadlines[class];
-        let stated_us = match routed.client_timeout_us()? {
-            Some(timeout_us) => routed.received_at_us + timeout_us.min(deadline_us),
-            None => u64::MAX,
-        };
-        Ok(stated_us.min(self.clock.now_us() + deadline_us) - RESPONSE_MARGIN_US)
-    }
-
-    /// The size of a request in the scheduler's units, by the longer of its body and the range it reads.
-    fn units(&self, request: &ObjectRequest, body: &Bytes) -> u64 {
-        let length = match &request.operation {
-            Operation::Read { range: Some(range), .. } => range.max_len().unwrap_or(self.limits.unit),
-            _ => body.len() as u64,
-        };
-        1 + (length / self.limits.unit).min(self.limits.most_units.saturating_sub(1))
-    }
-}
-
-fn hash_to_u64(fields: &[&str]) -> u64 {
-    let hash = hash_fields(fields);
-    hash.first_chunk().map_or(0, |first: &[u8; 8]| u64::from_be_bytes(*first))
 }
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -66,7 +66,7 @@
     fn streaming_rule(&self, payload: Rc<ObjectPayload>) -> StreamingRule {
         let may_stream = payload.request.may_stream;
         StreamingRule {
-            min_body_len: self.limits.buffer,
+            min_body_len: self.limits.max_buffered_len,
             accepts: Box::new(move |status, headers| {
                 may_stream && status.is_success() && payload.accepts_response(status, headers)
             }),
@@ -77,8 +77,8 @@
 impl AttemptTransport<ObjectPayload> for ObjectTransport {
     fn start(&mut self, attempt: Attempt<ObjectPayload>) {
         let limits = ResponseLimits {
-            stall_timeout: self.limits.stall,
-            max_body_len: MAX_METADATA_LEN.max(self.limits.buffer as usize),
+            stall_timeout: self.limits.stall_timeout,
+            max_body_len: MAX_METADATA_LEN.max(self.limits.max_buffered_len as usize),
             streaming: self.streaming_rule(attempt.payload.clone()),
         };
         start_attempt(&self.router, &self.nodes, attempt, limits);
--- /dev/null
+++ b/src/gateway/platform_frontend/mod.rs
@@ -0,0 +1,137 @@
+//! The front end for the platform's protocol: from a client's request to its response.
+
+mod open_request_id;
+mod response;
+mod transport;
+
+pub use transport::PlatformTransport;
+
+use super::frontend::{BodyError, HealthStatus, RESPONSE_MARGIN_US, read_body};
+use super::metrics::GatewayMetrics;
+use super::shutdown::ShutdownSchedule;
+use crate::protocol::client_request::{self, ForwardedRequest, NameTable, ParsedRequest};
+use crate::routing::{Clock, RouterHandle};
+use crate::scheduler::{IncomingRequest, RequestId};
+use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, full_body};
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use hyper::{Request, Response};
+use open_request_id::OpenRequestId;
+use response::{PlatformResponse, Rejection};
+use rustc_hash::FxHashSet;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// How long a client may take over a request, from its first byte to its last. By "A Fixed Test for All
+/// Future Versions of the Gateway", a client that stops halfway is owed an error within 3 s.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_600);
+
+/// The longest time that a client is taken to wait, whatever it states, in microseconds.
+const MAX_CLIENT_TIMEOUT_US: u64 = 600_000_000;
+
+/// The front end for the platform's protocol.
+pub struct PlatformFrontend {
+    /// Where requests are submitted.
+    pub router: RouterHandle<ForwardedRequest, Bytes>,
+    /// The router's clock.
+    pub clock: Clock,
+    /// How requests name classes and plans.
+    pub names: NameTable,
+    /// The counters.
+    pub metrics: Rc<GatewayMetrics>,
+    /// Whether the program still serves.
+    pub phase: watch::Receiver<LifecyclePhase>,
+    /// When a client should come back that is rejected for want of connections, in microseconds; none if
+    /// there is no advice.
+    pub overload_retry_after_us: Option<u64>,
+    /// When requests are to be answered during a graceful shutdown.
+    pub shutdown: Rc<ShutdownSchedule>,
+    /// The ids of the requests in progress.
+    pub open: RefCell<FxHashSet<HeaderValue>>,
+}
+
+impl PlatformFrontend {
+    /// Answers one request.
+    pub async fn answer(
+        &self,
+        request: Request<Incoming>,
+        context: RequestContext,
+    ) -> Response<ResponseBody> {
+        let answer = match HealthStatus::for_path(request.uri().path(), &self.phase) {
+            Some(health) => health.into(),
+            None => self.serve(request, context).await.unwrap_or_else(|rejection| self.reject(rejection)),
+        };
+        client_request::response(answer.status, answer.body, answer.retry_after_us).map(full_body)
+    }
+
+    async fn serve(
+        &self,
+        request: Request<Incoming>,
+        context: RequestContext,
+    ) -> Result<PlatformResponse, Rejection> {
+        if context.admission == Admission::Overloaded {
+            return Err(Rejection::Overloaded);
+        }
+        let (head, body) = request.into_parts();
+        let parsed = client_request::decode(&head, context.conflicting_length, &self.names)
+            .map_err(Rejection::Malformed)?;
+        let _open = self.register_id(&head)?;
+        let body = read_request_body(body, context.started_at).await?;
+        let incoming = self.incoming_request(&parsed);
+        Ok(self.router.submit(incoming, ForwardedRequest { head, body }).await.into())
+    }
+
+    fn register_id(&self, head: &Parts) -> Result<OpenRequestId<'_>, Rejection> {
+        head.headers
+            .get("req-id")
+            .and_then(|id| OpenRequestId::register(&self.open, id))
+            .ok_or(Rejection::DuplicateId)
+    }
+
+    fn incoming_request(&self, parsed: &ParsedRequest) -> IncomingRequest {
+        IncomingRequest {
+            id: RequestId(0),
+            class: parsed.class,
+            plan: parsed.plan,
+            volume: parsed.volume,
+            volume_gateways: parsed.volume_gateways,
+            block: Some(parsed.block),
+            shard: parsed.shard,
+            units: parsed.units,
+            expires_at_us: self.expires_at_us(parsed.timeout_us),
+        }
+    }
+
+    fn reject(&self, rejection: Rejection) -> PlatformResponse {
+        rejection.count(&self.metrics);
+        rejection.into_response(self.overload_retry_after_us)
+    }
+
+    /// When a request must be answered. Its time counts from its last byte; during a graceful shutdown it has
+    /// no more than that leaves.
+    fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
+        let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
+        let until_shutdown_us = match self.shutdown.answer_by.get() {
+            Some(answer_by) => (answer_by - Instant::now()).as_micros() as u64,
+            None => timeout_us,
+        };
+        self.clock.now_us() + timeout_us.min(until_shutdown_us)
+    }
+}
+
+async fn read_request_body(body: Incoming, started_at: Instant) -> Result<Bytes, Rejection> {
+    // A body that states that it is too large is not waited for.
+    if body.size_hint().lower() > client_request::BODY_MOST as u64 {
+        return Err(Rejection::BodyTooLarge);
+    }
+    let deadline = started_at + REQUEST_READ_TIMEOUT;
+    read_body(body, client_request::BODY_MOST, deadline).await.map_err(|cause| match cause {
+        BodyError::TooLong => Rejection::BodyTooLarge,
+        BodyError::Incomplete | BodyError::TimedOut => Rejection::BodyIncomplete,
+    })
+}
--- /dev/null
+++ b/src/gateway/platform_frontend/response.rs
@@ -0,0 +1,103 @@
+//! The answers to clients, and why a request is rejected.
+
+use crate::gateway::frontend::HealthStatus;
+use crate::gateway::metrics::GatewayMetrics;
+use crate::protocol::client_request::RequestError;
+use crate::routing::FinalAnswer;
+use bytes::Bytes;
+use hyper::StatusCode;
+
+/// The answer to a client.
+pub(super) struct PlatformResponse {
+    pub status: StatusCode,
+    pub body: Bytes,
+    /// When the client should come back, counted from now, in microseconds; none if there is no advice.
+    pub retry_after_us: Option<u64>,
+}
+
+impl PlatformResponse {
+    fn new(status: StatusCode, body: impl Into<Bytes>) -> Self {
+        PlatformResponse { status, body: body.into(), retry_after_us: None }
+    }
+
+    fn unavailable(text: &'static str, retry_after_us: Option<u64>) -> Self {
+        PlatformResponse { retry_after_us, ..Self::new(StatusCode::SERVICE_UNAVAILABLE, text) }
+    }
+}
+
+impl From<HealthStatus> for PlatformResponse {
+    fn from(health: HealthStatus) -> Self {
+        let status = match health {
+            HealthStatus::Alive | HealthStatus::Ready => StatusCode::OK,
+            HealthStatus::Stopping => StatusCode::SERVICE_UNAVAILABLE,
+        };
+        PlatformResponse::new(status, health.text())
+    }
+}
+
+impl From<FinalAnswer<Bytes>> for PlatformResponse {
+    fn from(answer: FinalAnswer<Bytes>) -> Self {
+        match answer {
+            FinalAnswer::Served(body) => PlatformResponse::new(StatusCode::OK, body),
+            FinalAnswer::Rejected { retry_after_us } => {
+                PlatformResponse::unavailable("refused\n", retry_after_us)
+            }
+            FinalAnswer::Failed => PlatformResponse::new(StatusCode::BAD_GATEWAY, "failed\n"),
+        }
+    }
+}
+
+/// Why a request is not submitted to the router.
+pub(super) enum Rejection {
+    /// Too many connections are open.
+    Overloaded,
+    /// The head is malformed or names something unknown.
+    Malformed(RequestError),
+    /// A request with the same id is in progress.
+    DuplicateId,
+    /// The body is longer than the protocol allows.
+    BodyTooLarge,
+    /// The body broke off or did not come in time.
+    BodyIncomplete,
+}
+
+impl Rejection {
+    /// Counts the rejection.
+    pub fn count(&self, metrics: &GatewayMetrics) {
+        let counter = match self {
+            Rejection::Overloaded => &metrics.overload,
+            Rejection::BodyTooLarge => &metrics.bodies_too_large,
+            Rejection::Malformed(_) | Rejection::DuplicateId | Rejection::BodyIncomplete => {
+                &metrics.bad_requests
+            }
+        };
+        counter.increment();
+    }
+
+    /// The answer; a client that is rejected for want of connections should come back after this time.
+    pub fn into_response(self, overload_retry_after_us: Option<u64>) -> PlatformResponse {
+        match self {
+            Rejection::Overloaded => {
+                PlatformResponse::unavailable("too many connections\n", overload_retry_after_us)
+            }
+            Rejection::Malformed(cause) => malformed(cause),
+            Rejection::DuplicateId => {
+                PlatformResponse::new(StatusCode::CONFLICT, "a request of this id is open\n")
+            }
+            Rejection::BodyTooLarge => {
+                PlatformResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
+            }
+            Rejection::BodyIncomplete => {
+                PlatformResponse::new(StatusCode::BAD_REQUEST, "the body broke off\n")
+            }
+        }
+    }
+}
+
+fn malformed(cause: RequestError) -> PlatformResponse {
+    let status = match cause {
+        RequestError::Length => StatusCode::LENGTH_REQUIRED,
+        _ => StatusCode::BAD_REQUEST,
+    };
+    PlatformResponse::new(status, format!("{cause}\n"))
+}
--- /dev/null
+++ b/src/gateway/platform_frontend/transport.rs
@@ -0,0 +1,58 @@
+//! Takes the router's attempts to the storage nodes of the platform.
+
+use crate::gateway::node_registry::NodeRegistry;
+use crate::gateway::node_transport::{AttemptPayload, ResponseLimits, start_attempt};
+use crate::protocol::client_request::{self, ForwardedRequest};
+use crate::routing::{Attempt, AttemptTransport, RouterHandle};
+use crate::transport::StreamingRule;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{HeaderMap, Request, Response, StatusCode};
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// A response that has begun and of which nothing has come for so long is malformed: storage nodes write a
+/// response at once. No page states this time.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
+
+impl AttemptPayload for ForwardedRequest {
+    type Response = Bytes;
+
+    fn encode(&self, time_left: Duration) -> Request<Full<Bytes>> {
+        client_request::encode(self, time_left)
+    }
+
+    fn accepts_response(&self, status: StatusCode, _: &HeaderMap) -> bool {
+        status == StatusCode::OK
+    }
+
+    fn complete_response(response: Response<Bytes>) -> Bytes {
+        response.into_body()
+    }
+}
+
+/// Takes the router's attempts to the storage nodes.
+pub struct PlatformTransport {
+    /// Where the ends of attempts are reported.
+    pub router: RouterHandle<ForwardedRequest, Bytes>,
+    /// The storage nodes.
+    pub nodes: NodeRegistry,
+    /// Starts a watch of the endpoint list.
+    pub watch: mpsc::UnboundedSender<()>,
+}
+
+impl AttemptTransport<ForwardedRequest> for PlatformTransport {
+    fn start(&mut self, attempt: Attempt<ForwardedRequest>) {
+        let limits = ResponseLimits {
+            stall_timeout: RESPONSE_STALL_TIMEOUT,
+            max_body_len: client_request::BODY_MOST,
+            streaming: StreamingRule::never(),
+        };
+        start_attempt(&self.router, &self.nodes, attempt, limits);
+    }
+
+    fn watch_endpoints(&mut self) {
+        // The endpoint watcher lives as long as the program.
+        let _ = self.watch.send(());
+    }
+}
