--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -6,7 +6,7 @@
 
 pub use transport::PlatformTransport;
 
-use super::frontend::{BodyError, HealthStatus, RESPONSE_MARGIN_US, read_body};
+use super::frontend::{HealthStatus, RESPONSE_MARGIN_US, read_body};
 use super::metrics::GatewayMetrics;
 use super::shutdown::ShutdownSchedule;
 use crate::protocol::client_request::{self, ForwardedRequest, NameTable, ParsedRequest};
@@ -81,7 +81,9 @@
         let parsed = client_request::decode(&head, context.conflicting_length, &self.names)
             .map_err(Rejection::Malformed)?;
         let _open = self.register_id(&head)?;
-        let body = read_request_body(body, context.started_at).await?;
+        check_stated_len(&body)?;
+        let read_by = context.started_at + REQUEST_READ_TIMEOUT;
+        let body = read_body(body, client_request::BODY_MOST, read_by).await?;
         let incoming = self.incoming_request(&parsed);
         Ok(self.router.submit(incoming, ForwardedRequest { head, body }).await.into())
     }
@@ -124,14 +126,10 @@
     }
 }
 
-async fn read_request_body(body: Incoming, started_at: Instant) -> Result<Bytes, Rejection> {
-    // A body that states that it is too large is not waited for.
+/// Rejects a body that states that it is too large, which is not waited for.
+fn check_stated_len(body: &Incoming) -> Result<(), Rejection> {
     if body.size_hint().lower() > client_request::BODY_MOST as u64 {
         return Err(Rejection::BodyTooLarge);
     }
-    let deadline = started_at + REQUEST_READ_TIMEOUT;
-    read_body(body, client_request::BODY_MOST, deadline).await.map_err(|cause| match cause {
-        BodyError::TooLong => Rejection::BodyTooLarge,
-        BodyError::Incomplete | BodyError::TimedOut => Rejection::BodyIncomplete,
-    })
+    Ok(())
 }
--- a/src/gateway/platform_frontend/response.rs
+++ b/src/gateway/platform_frontend/response.rs
@@ -1,6 +1,6 @@
 //! The answers to clients, and why a request is rejected.
 
-use crate::gateway::frontend::HealthStatus;
+use crate::gateway::frontend::{BodyError, HealthStatus};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::protocol::client_request::RequestError;
 use crate::routing::FinalAnswer;
@@ -61,6 +61,15 @@
     BodyIncomplete,
 }
 
+impl From<BodyError> for Rejection {
+    fn from(error: BodyError) -> Self {
+        match error {
+            BodyError::TooLong => Rejection::BodyTooLarge,
+            BodyError::Incomplete | BodyError::TimedOut => Rejection::BodyIncomplete,
+        }
+    }
+}
+
 impl Rejection {
     /// Counts the rejection.
     pub fn count(&self, metrics: &GatewayMetrics) {
