--- a/src/gateway/config/object.rs
+++ b/src/gateway/config/object.rs
@@ -223,7 +223,7 @@
             idle: Duration::from_millis(o.node_idle_ms),
             limits: ObjectLimits {
                 max_body_len: o.body_most,
-                max_buffered_len: o.buffer,
+                response_buffer_len: o.buffer,
                 stall_timeout: Duration::from_millis(o.stall_ms),
                 unit_len: o.unit,
                 max_units: MOST_UNITS,
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -1,4 +1,4 @@
-//! What the front ends have in common: health checks, bodies of requests, and the time kept for the way back.
+//! What the front ends have in common: health checks, bodies of requests, and the margin for the way back.
 
 use crate::protocol::client_request;
 use crate::transport::LifecyclePhase;
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// Kept of a client's time for the way back and for this event loop's own delay, in microseconds.
+/// Subtracted from a client's time for the way back and for this event loop's own delay, in microseconds.
 pub const RESPONSE_MARGIN_US: u64 = 10_000;
 
 /// The answer to a health check.
@@ -58,7 +58,7 @@
 }
 
 /// Reads the body of a request completely. The deadline guards against clients that stop halfway and would
-/// hold their connection for ever.
+/// occupy their connection indefinitely.
 ///
 /// # Errors
 ///
@@ -72,7 +72,7 @@
     }
 }
 
-/// Tells the client that a bearer token is needed, as HTTP asks of every answer with status 401.
+/// States that a bearer token is needed, as HTTP requires of every response with status 401.
 pub fn add_bearer_challenge(headers: &mut HeaderMap) {
     headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
 }
--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory.rs
@@ -81,7 +81,7 @@
 pub enum InventoryCommand {
     /// Read the file again; replies with the number of storage nodes that it names.
     Reload(oneshot::Sender<Result<usize, ReloadError>>),
-    /// Drain a storage node, or put it back as the file has it.
+    /// Drain a storage node, or return it to the state that the file gives.
     SetDrained {
         /// The node's name.
         node: String,
@@ -141,7 +141,7 @@
         Ok(self.hosts.len())
     }
 
-    /// Drains a node, or puts it back; returns whether the inventory names it.
+    /// Starts or ends draining a node; returns whether the inventory names it.
     fn set_drained(&self, node: String, drain: bool, drained: &mut BTreeSet<String>) -> bool {
         let known = self.names(&node);
         if drain && known {
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -35,7 +35,7 @@
 
 /// How long and how large a storage node's response may be.
 pub struct ResponseLimits {
-    /// A response that has begun and of which nothing more has come for so long has failed.
+    /// A response that has begun is malformed once nothing more of it has arrived for this time.
     pub stall_timeout: Duration,
     /// The longest body that is read completely, in bytes.
     pub max_body_len: usize,
--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -80,9 +80,11 @@
 /// How much of a response may be read completely before the client gets any of it, in bytes.
 fn buffered_response_len(request: &ObjectRequest, limits: &ObjectLimits) -> u64 {
     match &request.operation {
-        Operation::Read { head: false, range } => {
-            range.as_ref().and_then(|range| range.max_len()).unwrap_or(u64::MAX).min(limits.max_buffered_len)
-        }
+        Operation::Read { head: false, range } => range
+            .as_ref()
+            .and_then(|range| range.max_len())
+            .unwrap_or(u64::MAX)
+            .min(limits.response_buffer_len),
         _ => 0,
     }
 }
--- a/src/gateway/object_frontend/limits.rs
+++ b/src/gateway/object_frontend/limits.rs
@@ -31,12 +31,12 @@
     pub max_body_len: u64,
     /// The longest response, in bytes, that is read completely before the client gets any of it, so that a
     /// failed attempt can be retried.
-    pub max_buffered_len: u64,
-    /// A response of which nothing has come for so long has stalled.
+    pub response_buffer_len: u64,
+    /// A response has stalled once nothing of it has arrived for this time.
     pub stall_timeout: Duration,
     /// Bytes to a unit of the scheduler.
     pub unit_len: u64,
-    /// The most units that a request counts for.
+    /// The maximum number of units that a request counts for.
     pub max_units: u64,
     /// How many gateways serve the tenants.
     pub gateway_count: usize,
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -66,7 +66,7 @@
     fn streaming_rule(&self, payload: Rc<ObjectPayload>) -> StreamingRule {
         let may_stream = payload.request.may_stream;
         StreamingRule {
-            min_body_len: self.limits.max_buffered_len,
+            min_body_len: self.limits.response_buffer_len,
             accepts: Box::new(move |status, headers| {
                 may_stream && status.is_success() && payload.accepts_response(status, headers)
             }),
@@ -78,13 +78,13 @@
     fn start(&mut self, attempt: Attempt<ObjectPayload>) {
         let limits = ResponseLimits {
             stall_timeout: self.limits.stall_timeout,
-            max_body_len: MAX_METADATA_LEN.max(self.limits.max_buffered_len as usize),
+            max_body_len: MAX_METADATA_LEN.max(self.limits.response_buffer_len as usize),
             streaming: self.streaming_rule(attempt.payload.clone()),
         };
         start_attempt(&self.router, &self.nodes, attempt, limits);
     }
 
     fn watch_endpoints(&mut self) {
-        // The inventory's actor publishes changes by itself; the scheduler is set up not to ask for them.
+        // The inventory's actor publishes changes by itself; the scheduler's settings request none.
     }
 }
--- a/src/gateway/platform_frontend/transport.rs
+++ b/src/gateway/platform_frontend/transport.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A response that has begun and of which nothing has come for so long is malformed: storage nodes write a
+/// A response that has begun is malformed once nothing of it has arrived for this time: storage nodes write a
 /// response at once. No page states this time.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -17,7 +17,7 @@
 /// A SHA-256 hash, in bytes.
 const HASH_LEN: usize = 32;
 
-/// The hash under which a token is kept.
+/// The hash that is stored of a token.
 pub type TokenHash = [u8; HASH_LEN];
 
 /// Why a tenant is not accepted.
