--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -56,8 +56,10 @@
 impl From<AdminRequestError> for AdminResponse {
     fn from(error: AdminRequestError) -> Self {
         match error {
-            AdminRequestError::Path => Self::error(StatusCode::NOT_FOUND, "no such path"),
-            AdminRequestError::Method => Self::error(StatusCode::METHOD_NOT_ALLOWED, "no such method here"),
+            AdminRequestError::UnknownPath => Self::error(StatusCode::NOT_FOUND, "no such path"),
+            AdminRequestError::MethodNotAllowed => {
+                Self::error(StatusCode::METHOD_NOT_ALLOWED, "no such method here")
+            }
         }
     }
 }
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -29,9 +29,11 @@
     /// A front end exists only once the router has the first endpoint list, so it is ready from its start.
     pub fn for_path(path: &str, phase: &watch::Receiver<LifecyclePhase>) -> Option<Self> {
         match path {
-            client_request::LIVE => Some(HealthStatus::Alive),
-            client_request::READY if *phase.borrow() == LifecyclePhase::Serving => Some(HealthStatus::Ready),
-            client_request::READY => Some(HealthStatus::Stopping),
+            client_request::LIVENESS_PATH => Some(HealthStatus::Alive),
+            client_request::READINESS_PATH if *phase.borrow() == LifecyclePhase::Serving => {
+                Some(HealthStatus::Ready)
+            }
+            client_request::READINESS_PATH => Some(HealthStatus::Stopping),
             _ => None,
         }
     }
--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory.rs
@@ -51,7 +51,7 @@
 /// If the file cannot be read, or any part of it is invalid.
 pub fn read(path: &Path) -> Result<Vec<InventoryNode>, ReloadError> {
     let name = path.display().to_string();
-    let Some(format) = Format::of(path) else { return Err(ReloadError::UnknownFormat { path: name }) };
+    let Some(format) = Format::from_path(path) else { return Err(ReloadError::UnknownFormat { path: name }) };
     match std::fs::read_to_string(path) {
         Ok(text) => {
             inventory::decode(&text, format).map_err(|errors| ReloadError::Invalid { path: name, errors })
@@ -167,7 +167,7 @@
         EndpointRecord {
             name: node.name.clone(),
             address: node.address,
-            zone: node.room.clone(),
+            zone: node.zone.clone(),
             shard: self.racks.shard(&node.rack),
             state: state(node, drained),
             started_at_us: node.started_at_us,
@@ -186,7 +186,7 @@
     NodeView {
         name: node.name.clone(),
         address: node.address.to_string(),
-        room: node.room.clone(),
+        zone: node.zone.clone(),
         rack: node.rack.clone(),
         state: match state(node, drained) {
             EndpointState::Ready => "ready",
--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -58,7 +58,7 @@
         let length = request.length.ok_or_else(missing_content_length)?;
         if length > self.limits.max_body_len {
             self.metrics.bodies_too_large.increment();
-            return Err(ApiError::too_large().into());
+            return Err(ApiError::entity_too_large().into());
         }
         Ok(length)
     }
--- a/src/gateway/object_frontend/idempotency.rs
+++ b/src/gateway/object_frontend/idempotency.rs
@@ -34,8 +34,8 @@
     let client_key = routed.headers.get("idempotency-key").and_then(|value| value.to_str().ok());
     match (&routed.request.operation, client_key) {
         (_, Some(given)) => format!("given {given}"),
-        (Operation::Part(upload, number), None) => format!("part {upload} {number}"),
-        (Operation::Complete(upload), None) => format!("complete {upload}"),
+        (Operation::UploadPart { upload_id, number }, None) => format!("part {upload_id} {number}"),
+        (Operation::CompleteUpload { upload_id }, None) => format!("complete {upload_id}"),
         _ => format!("request {request_id}"),
     }
 }
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -64,6 +64,6 @@
     let Some(value) = headers.get("req-deadline") else { return Ok(None) };
     match value.to_str().ok().and_then(parse_timeout) {
         Some(timeout_us) => Ok(Some(timeout_us)),
-        None => Err(ApiError::invalid("Req-Deadline is malformed.")),
+        None => Err(ApiError::invalid_argument("Req-Deadline is malformed.")),
     }
 }
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -117,7 +117,7 @@
                 Ok(forwarded_response(&head, body.boxed_unsync()))
             }
             FinalAnswer::Rejected { retry_after_us } => Err(Rejection::slow_down(retry_after_us)),
-            FinalAnswer::Failed => Err(ApiError::failed().into()),
+            FinalAnswer::Failed => Err(ApiError::internal_error().into()),
         }
     }
 
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -3,8 +3,8 @@
 use super::Rejection;
 use super::routed_request::RoutedRequest;
 use crate::protocol::object::{
-    ApiError, ObjectRequest, Operation, Upload, UploadKey, decode_completed, decode_error, decode_initiated,
-    decode_listing, encode_completed, encode_initiated, encode_listing, headers_to_client,
+    ApiError, ObjectPath, ObjectRequest, Operation, Upload, UploadKey, decode_completed, decode_error,
+    decode_initiated, decode_listing, encode_completed, encode_initiated, encode_listing, headers_to_client,
 };
 use crate::transport::{ResponseBody, full_body};
 use bytes::Bytes;
@@ -23,12 +23,12 @@
         return Err(client_error(&head, &body).into());
     }
     let xml = match &routed.request.operation {
-        Operation::Initiate => initiated(&body, routed, upload_key),
-        Operation::Complete(_) => completed(&body, &routed.request)?,
-        Operation::ListParts(upload, _) => listing(&body, &routed.request, upload),
+        Operation::InitiateUpload => initiated(&body, routed, upload_key),
+        Operation::CompleteUpload { .. } => completed(&body, &routed.request)?,
+        Operation::ListParts { upload_id, .. } => listing(&body, &routed.request, upload_id),
         _ => return Ok(forwarded_response(&head, full_body(body))),
     };
-    let mut response = Response::new(full_body(xml.ok_or_else(ApiError::failed)?));
+    let mut response = Response::new(full_body(xml.ok_or_else(ApiError::internal_error)?));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
     Ok(response)
 }
@@ -55,8 +55,8 @@
 fn initiated(body: &Bytes, routed: RoutedRequest, upload_key: &UploadKey) -> Option<String> {
     let RoutedRequest { tenant, request, rack, .. } = routed;
     let node_id = decode_initiated(body)?;
-    let place = [tenant.name.as_str(), &request.bucket, &request.key];
-    let id = upload_key.sign(place, &Upload { rack, node_id });
+    let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
+    let id = upload_key.sign(path, &Upload { rack, node_id });
     Some(encode_initiated(&request.bucket, &request.key, &id))
 }
 
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -4,8 +4,8 @@
 use super::{ObjectFrontend, Rejection};
 use crate::gateway::tenants::Tenant;
 use crate::protocol::object::{
-    ApiError, NodeRequest, ObjectRequest, Operation, Upload, bearer_token, decode, decode_complete,
-    encode_complete, header_value,
+    ApiError, NodeRequest, ObjectPath, ObjectRequest, Operation, Upload, bearer_token, decode,
+    decode_complete, encode_complete, header_value,
 };
 use bytes::Bytes;
 use hyper::header::{HOST, HeaderMap, HeaderValue};
@@ -28,7 +28,7 @@
     /// The request to a storage node.
     pub fn node_request(&self, body: Bytes, request_id: &str) -> Result<NodeRequest, ApiError> {
         let body = match self.request.operation {
-            Operation::Complete(_) => encode_complete(decode_complete(&body)?).into(),
+            Operation::CompleteUpload { .. } => encode_complete(decode_complete(&body)?).into(),
             _ => body,
         };
         let node_upload = self.upload.as_ref().map(|upload| upload.node_id.as_str());
@@ -50,23 +50,25 @@
     pub(super) fn route(&self, head: Parts, received_at_us: u64) -> Result<RoutedRequest, Rejection> {
         let tenant = bearer_token(&head.headers)
             .and_then(|token| self.tenants.with_token(token))
-            .ok_or_else(|| self.bad_request(ApiError::denied()))?;
+            .ok_or_else(|| self.bad_request(ApiError::access_denied()))?;
         let request = decode(&head).map_err(|error| self.bad_request(error))?;
         if !tenant.volumes.contains(&request.bucket) {
-            return Err(ApiError::no_bucket().into());
+            return Err(ApiError::no_such_bucket().into());
         }
         let upload = self.verify_upload(&tenant, &request)?;
         // An upload stays on the rack where it began, even if the tenant's racks have changed since.
         let rack = match &upload {
             Some(upload) => upload.rack.clone(),
-            None => tenant.rack(&request.bucket, &request.key).cloned().ok_or_else(ApiError::failed)?,
+            None => {
+                tenant.rack(&request.bucket, &request.key).cloned().ok_or_else(ApiError::internal_error)?
+            }
         };
         Ok(RoutedRequest { tenant, request, headers: head.headers, upload, rack, received_at_us })
     }
 
     fn verify_upload(&self, tenant: &Tenant, request: &ObjectRequest) -> Result<Option<Upload>, ApiError> {
-        let Some(id) = request.operation.upload() else { return Ok(None) };
-        let place = [tenant.name.as_str(), &request.bucket, &request.key];
-        self.key.verify(place, id).map(Some).ok_or_else(ApiError::no_upload)
+        let Some(id) = request.operation.upload_id() else { return Ok(None) };
+        let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
+        self.key.verify(path, id).map(Some).ok_or_else(ApiError::no_such_upload)
     }
 }
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -83,7 +83,7 @@
         let _open = self.register_id(&head)?;
         check_stated_len(&body)?;
         let read_by = context.started_at + REQUEST_READ_TIMEOUT;
-        let body = read_body(body, client_request::BODY_MOST, read_by).await?;
+        let body = read_body(body, client_request::MAX_BODY_LEN, read_by).await?;
         let incoming = self.incoming_request(&parsed);
         Ok(self.router.submit(incoming, ForwardedRequest { head, body }).await.into())
     }
@@ -128,7 +128,7 @@
 
 /// Rejects a body that states that it is too large, which is not waited for.
 fn check_stated_len(body: &Incoming) -> Result<(), Rejection> {
-    if body.size_hint().lower() > client_request::BODY_MOST as u64 {
+    if body.size_hint().lower() > client_request::MAX_BODY_LEN as u64 {
         return Err(Rejection::BodyTooLarge);
     }
     Ok(())
--- a/src/gateway/platform_frontend/transport.rs
+++ b/src/gateway/platform_frontend/transport.rs
@@ -45,7 +45,7 @@
     fn start(&mut self, attempt: Attempt<ForwardedRequest>) {
         let limits = ResponseLimits {
             stall_timeout: RESPONSE_STALL_TIMEOUT,
-            max_body_len: client_request::BODY_MOST,
+            max_body_len: client_request::MAX_BODY_LEN,
             streaming: StreamingRule::never(),
         };
         start_attempt(&self.router, &self.nodes, attempt, limits);
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,8 +1,8 @@
 //! The tenants of the object API: their plans, volumes, racks and tokens.
 
 use crate::protocol::admin::{TenantDefinition, TenantView};
-use crate::protocol::inventory::plain_name;
-use crate::protocol::object::bucket_allowed;
+use crate::protocol::inventory::is_plain_name;
+use crate::protocol::object::is_valid_bucket_name;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -155,7 +155,7 @@
         if let Some(volume) = volumes.iter().find(|volume| !is_volume_name(volume)) {
             return Err(TenantFault::VolumeName(volume.clone()));
         }
-        if racks.is_empty() || !racks.iter().all(|rack| plain_name(rack)) {
+        if racks.is_empty() || !racks.iter().all(|rack| is_plain_name(rack)) {
             return Err(TenantFault::Racks);
         }
         let token = parse_token_hash(&token_sha256).ok_or(TenantFault::TokenHash)?;
@@ -194,7 +194,7 @@
 }
 
 fn is_volume_name(name: &str) -> bool {
-    bucket_allowed(name) && !RESERVED_VOLUME_NAMES.contains(&name)
+    is_valid_bucket_name(name) && !RESERVED_VOLUME_NAMES.contains(&name)
 }
 
 #[cfg(test)]
