--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,5 +1,6 @@
 //! The gateway's counters, which the administration API and the log give out.
 
+use super::log;
 use crate::routing::{Counter, RequestMetrics};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,13 +20,13 @@
     pub list_calls: Counter,
     /// Those that failed.
     pub list_failures: Counter,
-    /// Endpoint lists that could not be decoded; the previous one was kept.
+    /// Endpoint lists that could not be decoded; the previous one stayed in effect.
     pub list_malformed: Counter,
     /// Endpoints that the lists named, in all.
     pub list_entries: Counter,
     /// Reloads of the configuration.
     pub reloads: Counter,
-    /// Reloads that failed; the previous configuration was kept.
+    /// Reloads that failed; the previous configuration stayed in effect.
     pub reloads_failed: Counter,
 }
 
@@ -51,6 +52,6 @@
     pub fn log(&self) {
         let fields: Vec<String> =
             self.by_name().iter().map(|(name, value)| format!("{name}={value}")).collect();
-        eprintln!("storage-gateway: {}", fields.join(" "));
+        log::write(fields.join(" "));
     }
 }
