--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -100,7 +100,7 @@
         let payload = ObjectPayload { request: node_request, _memory: memory.clone() };
         let answer = self.router.submit(incoming, payload).await;
         let response = self.response(answer, routed)?;
-        Ok(response.map(|body| GuardedBody(body, memory).boxed()))
+        Ok(response.map(|body| GuardedBody::new(body, memory).boxed()))
     }
 
     fn response(
