--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -9,7 +9,7 @@
 use super::ConfigError;
 use crate::gateway::inventory;
 use crate::gateway::object_frontend::ObjectLimits;
-use crate::gateway::tenants::{Tenants, TokenHash, decode_hash};
+use crate::gateway::tenants::{TenantRegistry, TokenHash, parse_token_hash};
 use crate::protocol::inventory::InventoryNode;
 use crate::protocol::object::UploadKey;
 use crate::scheduler::SchedulerSettings;
@@ -47,7 +47,7 @@
     /// The storage nodes.
     pub inventory: InventorySource,
     /// The tenants.
-    pub tenants: Tenants,
+    pub tenants: TenantRegistry,
     /// The scheduler's settings.
     pub settings: SchedulerSettings,
 }
@@ -98,7 +98,7 @@
             upload_key,
             inventory,
             settings: settings::scheduler_settings(&file),
-            tenants: Tenants::new(plan_names, file.tenants)
+            tenants: TenantRegistry::new(plan_names, file.tenants)
                 .map_err(|error| ObjectConfigError::Tenant(error.into()))?,
         })
     }
@@ -120,7 +120,7 @@
     if !admin.listen.ip().is_loopback() {
         return Err(ObjectConfigError::AdminNotLoopback);
     }
-    decode_hash(&admin.token_sha256).ok_or(ObjectConfigError::InvalidAdminTokenHash)
+    parse_token_hash(&admin.token_sha256).ok_or(ObjectConfigError::InvalidAdminTokenHash)
 }
 
 fn validate_object(object: &ObjectSection) -> Result<(), ObjectConfigError> {
@@ -194,12 +194,12 @@
 fn object_limits(file: &ObjectConfigFile) -> ObjectLimits {
     let deadline_us = |class: &ClassSection| class.deadline_ms * 1_000;
     ObjectLimits {
-        body_most: file.object.max_body_len,
-        buffer: file.object.response_buffer_len,
-        stall: Duration::from_millis(file.object.stall_timeout_ms),
-        unit: file.object.unit_len,
-        most_units: settings::MAX_REQUEST_UNITS,
-        gateways: file.gateway.count,
-        deadlines: [deadline_us(&file.classes.read), deadline_us(&file.classes.write)],
+        max_body_len: file.object.max_body_len,
+        response_buffer_len: file.object.response_buffer_len,
+        stall_timeout: Duration::from_millis(file.object.stall_timeout_ms),
+        unit_len: file.object.unit_len,
+        max_units: settings::MAX_REQUEST_UNITS,
+        gateway_count: file.gateway.count,
+        deadlines_us: [deadline_us(&file.classes.read), deadline_us(&file.classes.write)],
     }
 }
--- /dev/null
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -0,0 +1,74 @@
+//! A client's request whose tenant and rack are known, and the request to a storage node that it becomes.
+
+use super::idempotency::idempotency_key;
+use super::{ObjectFrontend, Rejection};
+use crate::gateway::tenants::Tenant;
+use crate::protocol::object::{
+    ApiError, NodeRequest, ObjectPath, ObjectRequest, Operation, Upload, bearer_token, decode,
+    decode_complete, encode_complete, header_value,
+};
+use bytes::Bytes;
+use hyper::header::{HOST, HeaderMap, HeaderValue};
+use hyper::http::request::Parts;
+use std::rc::Rc;
+
+/// A client's request whose tenant and rack are known.
+pub(super) struct RoutedRequest {
+    pub tenant: Rc<Tenant>,
+    pub request: ObjectRequest,
+    pub headers: HeaderMap,
+    /// The upload that the request names.
+    pub upload: Option<Upload>,
+    /// The rack that holds the object.
+    pub rack: String,
+    pub received_at_us: u64,
+}
+
+impl RoutedRequest {
+    /// The request to a storage node.
+    pub fn node_request(&self, body: Bytes, request_id: &str) -> Result<NodeRequest, ApiError> {
+        let body = match self.request.operation {
+            Operation::CompleteUpload { .. } => encode_complete(decode_complete(&body)?).into(),
+            _ => body,
+        };
+        let node_upload = self.upload.as_ref().map(|upload| upload.node_id.as_str());
+        let mut node_request =
+            NodeRequest::new(&self.request, &self.tenant.name, node_upload, &self.headers, body);
+        let headers = &mut node_request.headers;
+        headers.insert(HOST, HeaderValue::from_static("origin.svc"));
+        headers.insert("req-id", header_value(request_id.into()));
+        if self.request.operation.writes() {
+            let key = idempotency_key(self, &node_request.body, request_id);
+            headers.insert("idempotency-key", header_value(key));
+        }
+        Ok(node_request)
+    }
+}
+
+impl ObjectFrontend {
+    /// Finds the tenant, the operation and the rack of a request.
+    pub(super) fn route(&self, head: Parts, received_at_us: u64) -> Result<RoutedRequest, Rejection> {
+        let tenant = bearer_token(&head.headers)
+            .and_then(|token| self.tenants.with_token(token))
+            .ok_or_else(|| self.bad_request(ApiError::access_denied()))?;
+        let request = decode(&head).map_err(|error| self.bad_request(error))?;
+        if !tenant.volumes.contains(&request.bucket) {
+            return Err(ApiError::no_such_bucket().into());
+        }
+        let upload = self.verify_upload(&tenant, &request)?;
+        // An upload stays on the rack where it began, even if the tenant's racks have changed since.
+        let rack = match &upload {
+            Some(upload) => upload.rack.clone(),
+            None => {
+                tenant.rack(&request.bucket, &request.key).cloned().ok_or_else(ApiError::internal_error)?
+            }
+        };
+        Ok(RoutedRequest { tenant, request, headers: head.headers, upload, rack, received_at_us })
+    }
+
+    fn verify_upload(&self, tenant: &Tenant, request: &ObjectRequest) -> Result<Option<Upload>, ApiError> {
+        let Some(id) = request.operation.upload_id() else { return Ok(None) };
+        let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
+        self.key.verify(path, id).map(Some).ok_or_else(ApiError::no_such_upload)
+    }
+}
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -8,7 +8,9 @@
 use crate::gateway::error::RunError;
 use crate::gateway::inventory::{InventoryActor, InventoryCommand, RackRegistry};
 use crate::gateway::node_registry::NodeRegistry;
-use crate::gateway::object_frontend::{ObjectFrontend, ObjectLimits, ObjectTransport, Payload, Reply};
+use crate::gateway::object_frontend::{
+    BodyMemory, NodeResponse, ObjectFrontend, ObjectLimits, ObjectPayload, ObjectTransport,
+};
 use crate::gateway::reload::reload_inventory;
 use crate::gateway::signals::hangup_signal;
 use crate::protocol::inventory::InventoryNode;
@@ -18,16 +20,13 @@
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::{Semaphore, mpsc, watch};
+use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Connections to the administration API: enough for a few operators and their tools.
 const ADMIN_CONNECTIONS: ConnectionLimits = ConnectionLimits { served: 16, rejected: 4 };
-/// The object front end counts memory for bodies in permits of so many bytes.
-const MEMORY_PERMIT_BYTES: u64 = 1024;
 
 /// Starts the gateway's actors and its servers.
 ///
@@ -49,7 +48,7 @@
         racks,
         key: config.upload_key,
         limits: config.limits,
-        memory: Arc::new(Semaphore::new((config.body_memory / MEMORY_PERMIT_BYTES) as usize)),
+        memory: BodyMemory::new(config.body_memory),
         metrics: metrics.clone(),
         phase: phase.clone(),
         next: Cell::new(fastrand::u64(..)),
@@ -87,7 +86,7 @@
 
 /// The router's and the inventory's actors, and what reaches them.
 struct GatewayActors {
-    router: RouterHandle<Payload, Reply>,
+    router: RouterHandle<ObjectPayload, NodeResponse>,
     racks: RackRegistry,
     inventory: mpsc::UnboundedSender<InventoryCommand>,
     tasks: Vec<JoinHandle<()>>,
