--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -32,7 +32,7 @@
 /// responding together; different waits have them time out, and be reopened, one by one.
 pub fn watch_wait(gateway_index: usize, gateway_count: usize) -> Duration {
     let position = gateway_index.min(gateway_count) as f64 / gateway_count.max(1) as f64;
-    MAX_WATCH_WAIT - WATCH_WAIT_SPREAD.mul_f64(position)
+    MAX_WATCH_WAIT.saturating_sub(WATCH_WAIT_SPREAD.mul_f64(position))
 }
 
 /// Why a poll brought no endpoint list.
--- a/src/gateway/signals.rs
+++ b/src/gateway/signals.rs
@@ -37,19 +37,19 @@
         shutdown: Rc<ShutdownSchedule>,
         metrics: Rc<GatewayMetrics>,
     ) {
-        let shut_down = async {
+        let on_terminate = async {
             tokio::select! {
                 _ = self.terminate.recv() => {}
                 _ = self.interrupt.recv() => {}
             }
             shutdown.run(&phase).await;
         };
-        let log_metrics = async {
+        let on_log_request = async {
             while self.log_metrics.recv().await.is_some() {
                 metrics.log();
             }
         };
-        tokio::join!(shut_down, log_metrics);
+        tokio::join!(on_terminate, on_log_request);
     }
 }
 
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -3,7 +3,7 @@
 use super::Scheduler;
 use super::action::Action;
 use super::event::{IncomingRequest, RequestId, ShardId};
-use super::request::{Placement, Request, RequestState};
+use super::request::{Placement, RateLimitCharge, Request, RequestState};
 use super::volume::Volume;
 
 /// A node whose service time is unknown is taken to serve a request in this part of the tightest objective.
@@ -112,7 +112,10 @@
             response_started: false,
             reserved,
             sent_as_background: false,
-            charged: self.settings.plans[incoming.plan].rate_limit.is_none(),
+            rate_limit_charge: match self.settings.plans[incoming.plan].rate_limit {
+                Some(_) => RateLimitCharge::Pending,
+                None => RateLimitCharge::Settled,
+            },
         }
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -4,7 +4,7 @@
 use super::action::Action;
 use super::event::RequestId;
 use super::node::{NodeIndex, NodeState};
-use super::request::{AttemptInFlight, Request, RequestState};
+use super::request::{AttemptInFlight, RateLimitCharge, Request, RequestState};
 use super::settings::Idempotency;
 
 /// The longest gap between two attempts at a paced node.
@@ -221,7 +221,7 @@
     /// Whether the rate limit of a request's volume admits it now.
     fn rate_limit_admits(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
-        if request.charged {
+        if !request.owes_rate_limit() {
             return true;
         }
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return true };
@@ -237,11 +237,11 @@
         if request.attempts > 0 {
             self.retry_usage.record_retry(self.now_us);
         }
-        if !request.charged
+        if request.owes_rate_limit()
             && let Some(volume) = self.volumes.get_mut(&request.volume)
         {
             volume.charge(request.units);
-            request.charged = true;
+            request.rate_limit_charge = RateLimitCharge::Settled;
         }
         if request.sent_as_background {
             let weight = self.settings.plans[request.plan].weight;
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -61,7 +61,7 @@
     /// Whether an answer would earn nothing any more.
     fn is_worthless(&self, request: &Request) -> bool {
         let earns_nothing_late = self.settings.classes[request.class].late_weight_factor <= 0.0;
-        (!request.charged || earns_nothing_late) && request.objective_at_us < self.now_us
+        (request.owes_rate_limit() || earns_nothing_late) && request.objective_at_us < self.now_us
     }
 
     fn waits_past_its_expiry(&self, request: &Request) -> bool {
@@ -96,7 +96,7 @@
         let node_wait_us =
             self.shortest_node_wait_us(request).unwrap_or(self.settings.max_retry_after_us.unwrap_or(0));
         let wait_us = node_wait_us.saturating_add(queue_wait_us as u64);
-        let volume = self.volumes.get(&request.volume).filter(|_| !request.charged);
+        let volume = self.volumes.get(&request.volume).filter(|_| request.owes_rate_limit());
         let rate_limit = self.settings.plans[request.plan].rate_limit;
         let limit_wait_us =
             volume.zip(rate_limit).map_or(0, |(volume, limit)| volume.rate_limit_wait_us(&limit, 0.0));
@@ -116,7 +116,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let had_no_answer = request.mark_answered();
         if had_no_answer
-            && !request.charged
+            && request.owes_rate_limit()
             && let Some(volume) = self.volumes.get_mut(&request.volume)
         {
             volume.unqueue(request.units);
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -39,6 +39,15 @@
     Free(Option<ShardId>),
 }
 
+/// Whether a request has been charged to its volume's rate limit.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum RateLimitCharge {
+    /// It will be when it is sent first.
+    Pending,
+    /// It has been, or its plan has no limit.
+    Settled,
+}
+
 /// A request that the scheduler knows.
 pub(super) struct Request {
     /// Its class and plan, as indices into the settings.
@@ -68,8 +77,7 @@
     pub(super) reserved: bool,
     /// Whether its latest attempt was sent with the background work, behind others.
     pub(super) sent_as_background: bool,
-    /// Whether it has been charged to its volume's rate limit, or needs not be.
-    pub(super) charged: bool,
+    pub(super) rate_limit_charge: RateLimitCharge,
 }
 
 impl Request {
@@ -86,6 +94,11 @@
         matches!(self.placement, Placement::Free(_)) && self.possible_execution.is_none()
     }
 
+    /// Whether it is still to be charged to its volume's rate limit.
+    pub(super) fn owes_rate_limit(&self) -> bool {
+        self.rate_limit_charge == RateLimitCharge::Pending
+    }
+
     pub(super) fn is_queued(&self) -> bool {
         matches!(self.state, RequestState::Queued)
     }
--- a/src/transport/connection_pool/tests.rs
+++ b/src/transport/connection_pool/tests.rs
@@ -20,7 +20,9 @@
         idle.push(PooledConnection { connection, last_used: Instant::now(), _permit: permit });
     }
     tokio::time::pause();
-    idle.iter_mut().for_each(|pooled| pooled.last_used = Instant::now());
+    for pooled in &mut idle {
+        pooled.last_used = Instant::now();
+    }
     (idle, node_ends)
 }
 
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -115,7 +115,7 @@
     for (line, expected) in [
         ("{not json", "malformed line"),
         ("[1,2]", "malformed line"),
-        (r#"{}"#, "malformed line"),
+        ("{}", "malformed line"),
         (r#"{"inbound":{"who":3,"ref":1}}"#, "expiresUs"),
         (r#"{"reply":{"who":3,"ref":1,"server":"server-a"}}"#, "rc"),
         (r#"{"inbound":{"who":3,"ref":1,"expiresUs":9,"vol":"zz"}}"#, "zz"),
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -170,7 +170,7 @@
             return;
         }
         let id = round * gateways as u32 + gateway as u32;
-        let units = self.random.u32(1..=8).min(self.random.u32(1..=8)) as f64;
+        let units = f64::from(self.random.u32(1..=8).min(self.random.u32(1..=8)));
         self.request_units.insert(id, units);
         let request = incoming_request(id, 0, 0, self.now_us + SECOND);
         self.events[gateway].push(Event::RequestArrived(IncomingRequest { units, ..request }));
