--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -55,12 +55,11 @@
 
 impl From<AdminRequestError> for AdminResponse {
     fn from(error: AdminRequestError) -> Self {
-        match error {
-            AdminRequestError::UnknownPath => Self::error(StatusCode::NOT_FOUND, "no such path"),
-            AdminRequestError::MethodNotAllowed => {
-                Self::error(StatusCode::METHOD_NOT_ALLOWED, "no such method here")
-            }
-        }
+        let status = match error {
+            AdminRequestError::UnknownPath => StatusCode::NOT_FOUND,
+            AdminRequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+        };
+        Self::error(status, error.to_string())
     }
 }
 
--- a/src/gateway/config/mod.rs
+++ b/src/gateway/config/mod.rs
@@ -6,7 +6,7 @@
 use object::ObjectConfigError;
 use platform::PlatformConfigError;
 
-/// Why a configuration was not taken.
+/// Why a configuration was not accepted.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// Nothing says where the platform's configuration is.
--- a/src/gateway/config/object/error.rs
+++ b/src/gateway/config/object/error.rs
@@ -1,6 +1,7 @@
 //! What can be wrong with an operator's file.
 
 use crate::gateway::inventory::ReloadError;
+use crate::gateway::tenants::TenantError;
 use crate::protocol::object::UploadKey;
 use std::io;
 
@@ -54,6 +55,6 @@
     #[error(transparent)]
     Inventory(#[from] ReloadError),
     /// A tenant's definition is invalid.
-    #[error("{0}")]
-    Tenant(Box<dyn std::error::Error>),
+    #[error(transparent)]
+    Tenant(#[from] TenantError),
 }
--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -8,7 +8,7 @@
 
 use super::ConfigError;
 use crate::gateway::inventory;
-use crate::gateway::object_frontend::ObjectLimits;
+use crate::gateway::object_frontend::{BodyMemory, ObjectLimits};
 use crate::gateway::tenants::{TenantRegistry, TokenHash, parse_token_hash};
 use crate::protocol::inventory::InventoryNode;
 use crate::protocol::object::UploadKey;
@@ -22,9 +22,6 @@
 
 /// The longest deadline of a class, in milliseconds: one hour. The limit is the gateway's own.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// What a body takes beside its bytes, at most: the front end counts memory in permits of one KiB and takes
-/// one more than the full KiB of a body.
-const BODY_MEMORY_OVERHEAD: u64 = 1024;
 
 /// The configuration of a gateway that serves the object API and the administration API.
 pub struct ObjectGatewayConfig {
@@ -98,8 +95,7 @@
             upload_key,
             inventory,
             settings: settings::scheduler_settings(&file),
-            tenants: TenantRegistry::new(plan_names, file.tenants)
-                .map_err(|error| ObjectConfigError::Tenant(error.into()))?,
+            tenants: TenantRegistry::new(plan_names, file.tenants)?,
         })
     }
 }
@@ -135,7 +131,7 @@
         return Err(ObjectConfigError::ZeroObjectLimit);
     }
     let longest_body = object.max_body_len.max(object.response_buffer_len);
-    if object.body_memory < longest_body + BODY_MEMORY_OVERHEAD {
+    if object.body_memory < longest_body + BodyMemory::MAX_OVERHEAD {
         return Err(ObjectConfigError::BodyMemoryTooSmall);
     }
     Ok(())
--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory.rs
@@ -23,12 +23,12 @@
         path: String,
     },
     /// The file cannot be read.
-    #[error("{path}: {cause}")]
+    #[error("{path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// The error.
-        cause: std::io::Error,
+        /// The system's error.
+        source: std::io::Error,
     },
     /// The file's content is invalid.
     #[error("{path}: {places}", places = join_errors(.errors))]
@@ -56,7 +56,7 @@
         Ok(text) => {
             inventory::decode(&text, format).map_err(|errors| ReloadError::Invalid { path: name, errors })
         }
-        Err(cause) => Err(ReloadError::Unreadable { path: name, cause }),
+        Err(source) => Err(ReloadError::Unreadable { path: name, source }),
     }
 }
 
@@ -99,7 +99,7 @@
     /// The file.
     pub path: PathBuf,
     /// The storage nodes that it names.
-    pub hosts: Vec<InventoryNode>,
+    pub inventory: Vec<InventoryNode>,
     /// The racks, numbered as the scheduler's shards.
     pub racks: RackRegistry,
     /// The storage nodes' connection pools.
@@ -128,17 +128,17 @@
                 let _ = reply.send(self.set_drained(node, drain, drained));
             }
             InventoryCommand::ListNodes(reply) => {
-                let _ = reply.send(self.hosts.iter().map(|node| view(node, drained)).collect());
+                let _ = reply.send(self.inventory.iter().map(|node| view(node, drained)).collect());
             }
         }
     }
 
     /// Reads the file again; a node that it no longer names is no longer drained either.
     fn reload(&mut self, drained: &mut BTreeSet<String>) -> Result<usize, ReloadError> {
-        self.hosts = read(&self.path)?;
+        self.inventory = read(&self.path)?;
         drained.retain(|name| self.names(name));
         self.publish(drained);
-        Ok(self.hosts.len())
+        Ok(self.inventory.len())
     }
 
     /// Starts or ends draining a node; returns whether the inventory names it.
@@ -154,11 +154,11 @@
     }
 
     fn names(&self, name: &str) -> bool {
-        self.hosts.iter().any(|node| node.name == name)
+        self.inventory.iter().any(|node| node.name == name)
     }
 
     fn publish(&self, drained: &BTreeSet<String>) {
-        let records: Vec<_> = self.hosts.iter().map(|node| self.endpoint_record(node, drained)).collect();
+        let records: Vec<_> = self.inventory.iter().map(|node| self.endpoint_record(node, drained)).collect();
         let endpoints = self.nodes.apply(ListKind::Snapshot, &records);
         self.router.endpoints_updated(EndpointUpdate::Snapshot(endpoints));
     }
--- a/src/gateway/node_registry.rs
+++ b/src/gateway/node_registry.rs
@@ -55,7 +55,7 @@
         self.nodes.borrow().get(node).map(|node| node.pool.clone())
     }
 
-    /// Takes in an endpoint list or changes to it; returns the endpoints that the scheduler is to be notified
+    /// Applies an endpoint list or changes to it; returns the endpoints that the scheduler is to be notified
     /// of.
     pub fn apply(&self, kind: ListKind, records: &[EndpointRecord]) -> Vec<Endpoint> {
         let mut nodes = self.nodes.borrow_mut();
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -4,7 +4,7 @@
 use crate::protocol::node_response::{self, NodeResponseHead};
 use crate::routing::{Attempt, AttemptResult, RouterHandle};
 use crate::scheduler::{AttemptOutcome, RequestId};
-use crate::transport::{Exchange, ExchangeEvent, StreamedBody, StreamingRule};
+use crate::transport::{Exchange, ExchangeEvent, ExchangeFailure, StreamedBody, StreamingRule};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response, StatusCode};
@@ -104,7 +104,7 @@
                 Some(head) => result_with_head(head, None),
                 None => AttemptResult::without_response(AttemptOutcome::Succeeded),
             },
-            ended => AttemptResult::without_response(outcome_of(&ended)),
+            ExchangeEvent::Failed(failure) => AttemptResult::without_response(outcome_of(failure)),
         };
         self.router.attempt_ended(self.request, self.number, result);
     }
@@ -130,18 +130,15 @@
     AttemptResult { outcome, response, volume_rate_percent, units_via_other_gateways, load }
 }
 
-/// The outcome of an attempt whose exchange brought no response, or one that has been reported before.
-fn outcome_of(event: &ExchangeEvent) -> AttemptOutcome {
-    match event {
-        ExchangeEvent::Completed(_) | ExchangeEvent::StreamStarted(_) | ExchangeEvent::StreamCompleted => {
-            AttemptOutcome::Succeeded
-        }
-        ExchangeEvent::DescriptorsExhausted | ExchangeEvent::NotStarted => AttemptOutcome::NotSent,
-        ExchangeEvent::ConnectFailed => AttemptOutcome::ConnectFailed,
-        ExchangeEvent::ConnectionReset => AttemptOutcome::ConnectionReset,
+/// The outcome of an attempt whose exchange brought no complete response.
+fn outcome_of(failure: ExchangeFailure) -> AttemptOutcome {
+    match failure {
+        ExchangeFailure::DescriptorsExhausted | ExchangeFailure::NotStarted => AttemptOutcome::NotSent,
+        ExchangeFailure::ConnectFailed => AttemptOutcome::ConnectFailed,
+        ExchangeFailure::ConnectionReset => AttemptOutcome::ConnectionReset,
         // The node itself is healthy: it responded.
-        ExchangeEvent::MalformedResponse => AttemptOutcome::Failed,
-        ExchangeEvent::TimedOut => AttemptOutcome::TimedOut,
-        ExchangeEvent::Cancelled => AttemptOutcome::Cancelled,
+        ExchangeFailure::MalformedResponse => AttemptOutcome::Failed,
+        ExchangeFailure::TimedOut => AttemptOutcome::TimedOut,
+        ExchangeFailure::Cancelled => AttemptOutcome::Cancelled,
     }
 }
--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -27,6 +27,9 @@
 }
 
 impl BodyMemory {
+    /// What is reserved for a body beside its own bytes, at most, in bytes: one permit.
+    pub const MAX_OVERHEAD: u64 = BYTES_PER_PERMIT;
+
     /// Memory of this many bytes.
     pub fn new(bytes: u64) -> Self {
         BodyMemory(Arc::new(Semaphore::new((bytes / BYTES_PER_PERMIT) as usize)))
@@ -55,7 +58,7 @@
     }
 
     fn request_body_len(&self, request: &ObjectRequest) -> Result<u64, Rejection> {
-        let length = request.length.ok_or_else(missing_content_length)?;
+        let length = request.length.ok_or_else(ApiError::missing_content_length)?;
         if length > self.limits.max_body_len {
             self.metrics.bodies_too_large.increment();
             return Err(ApiError::entity_too_large().into());
@@ -89,10 +92,6 @@
     }
 }
 
-fn missing_content_length() -> ApiError {
-    ApiError::new(StatusCode::LENGTH_REQUIRED, "MissingContentLength", "Needs Content-Length.")
-}
-
 fn body_error(cause: BodyError) -> ApiError {
     match cause {
         BodyError::TooLong | BodyError::Incomplete => {
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -41,7 +41,7 @@
     /// The racks, numbered as the scheduler's shards.
     pub racks: RackRegistry,
     /// Signs upload ids.
-    pub key: UploadKey,
+    pub upload_key: UploadKey,
     /// The limits.
     pub limits: ObjectLimits,
     /// The memory that bodies may occupy.
@@ -51,7 +51,7 @@
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
     /// The next request's id.
-    pub next: Cell<u64>,
+    pub next_request_id: Cell<u64>,
 }
 
 impl ObjectFrontend {
@@ -61,7 +61,7 @@
         request: Request<Incoming>,
         context: RequestContext,
     ) -> Response<ResponseBody> {
-        let request_id = self.next_request_id();
+        let request_id = self.take_request_id();
         let head_only = request.method() == Method::HEAD;
         let resource = request.uri().path().to_string();
         let served = match HealthStatus::for_path(&resource, &self.phase) {
@@ -74,9 +74,9 @@
         response
     }
 
-    fn next_request_id(&self) -> String {
-        let number = self.next.get();
-        self.next.set(number.wrapping_add(1));
+    fn take_request_id(&self) -> String {
+        let number = self.next_request_id.get();
+        self.next_request_id.set(number.wrapping_add(1));
         format!("{number:016x}")
     }
 
@@ -110,7 +110,7 @@
     ) -> Result<Response<ResponseBody>, Rejection> {
         match answer {
             FinalAnswer::Served(NodeResponse::Complete(response)) => {
-                client_response(response, routed, &self.key)
+                client_response(response, routed, &self.upload_key)
             }
             FinalAnswer::Served(NodeResponse::Streamed(response)) => {
                 let (head, body) = response.into_parts();
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -69,6 +69,6 @@
     fn verify_upload(&self, tenant: &Tenant, request: &ObjectRequest) -> Result<Option<Upload>, ApiError> {
         let Some(id) = request.operation.upload_id() else { return Ok(None) };
         let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
-        self.key.verify(path, id).map(Some).ok_or_else(ApiError::no_such_upload)
+        self.upload_key.verify(path, id).map(Some).ok_or_else(ApiError::no_such_upload)
     }
 }
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -52,7 +52,7 @@
     /// When requests are to be answered during a graceful shutdown.
     pub shutdown: Rc<ShutdownSchedule>,
     /// The ids of the requests in progress.
-    pub open: RefCell<FxHashSet<HeaderValue>>,
+    pub open_ids: RefCell<FxHashSet<HeaderValue>>,
 }
 
 impl PlatformFrontend {
@@ -91,7 +91,7 @@
     fn register_id(&self, head: &Parts) -> Result<OpenRequestId<'_>, Rejection> {
         head.headers
             .get("req-id")
-            .and_then(|id| OpenRequestId::register(&self.open, id))
+            .and_then(|id| OpenRequestId::register(&self.open_ids, id))
             .ok_or(Rejection::DuplicateId)
     }
 
--- a/src/gateway/platform_frontend/open_request_id.rs
+++ b/src/gateway/platform_frontend/open_request_id.rs
@@ -6,20 +6,20 @@
 
 /// Registers a request's id for as long as the request is in progress.
 pub(super) struct OpenRequestId<'a> {
-    open: &'a RefCell<FxHashSet<HeaderValue>>,
+    open_ids: &'a RefCell<FxHashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl<'a> OpenRequestId<'a> {
     /// None if a request with this id is in progress. Guards against clients that use another's id: storage
     /// nodes and the rules identify a request by it.
-    pub fn register(open: &'a RefCell<FxHashSet<HeaderValue>>, id: &HeaderValue) -> Option<Self> {
-        open.borrow_mut().insert(id.clone()).then(|| OpenRequestId { open, id: id.clone() })
+    pub fn register(open_ids: &'a RefCell<FxHashSet<HeaderValue>>, id: &HeaderValue) -> Option<Self> {
+        open_ids.borrow_mut().insert(id.clone()).then(|| OpenRequestId { open_ids, id: id.clone() })
     }
 }
 
 impl Drop for OpenRequestId<'_> {
     fn drop(&mut self) {
-        self.open.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -47,8 +47,8 @@
         ShutdownSchedule { service_period: Cell::new(ACCEPT_PERIOD), answer_by: Cell::new(None) }
     }
 
-    /// Extends the service period towards the SIGKILL of the platform, which depends on the longest deadline of
-    /// a request.
+    /// Extends the service period towards the SIGKILL of the platform, which depends on the longest deadline
+    /// of a request.
     pub fn extend_service_period(&self, longest_deadline: Duration) {
         let earliest_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_PERIOD;
         let ending = SIGKILL_MARGIN + CLOSING_IDLE_PERIOD + FINAL_RESPONSES_PERIOD;
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -46,12 +46,12 @@
         clock,
         tenants: config.tenants.clone(),
         racks,
-        key: config.upload_key,
+        upload_key: config.upload_key,
         limits: config.limits,
         memory: BodyMemory::new(config.body_memory),
         metrics: metrics.clone(),
         phase: phase.clone(),
-        next: Cell::new(fastrand::u64(..)),
+        next_request_id: Cell::new(fastrand::u64(..)),
     });
     let admin_frontend = Rc::new(AdminFrontend {
         token: config.admin_token,
@@ -78,7 +78,7 @@
     divide_descriptors(config.descriptors.saturating_sub(for_administration), timeouts)
 }
 
-/// The names of the nodes' rooms, sorted, each once.
+/// The names of the nodes' zones, sorted, each once.
 fn zone_names(nodes: &[InventoryNode]) -> Vec<String> {
     let names: BTreeSet<String> = nodes.iter().map(|node| node.zone.clone()).collect();
     names.into_iter().collect()
@@ -106,7 +106,7 @@
         let (inventory, commands) = mpsc::unbounded_channel();
         let inventory_actor = InventoryActor {
             path: source.file,
-            hosts: source.nodes,
+            inventory: source.nodes,
             racks: racks.clone(),
             nodes: nodes.clone(),
             router: router.clone(),
--- a/src/gateway/startup/platform_gateway.rs
+++ b/src/gateway/startup/platform_gateway.rs
@@ -61,7 +61,7 @@
         phase: phase.clone(),
         overload_retry_after_us,
         shutdown,
-        open: RefCell::default(),
+        open_ids: RefCell::default(),
     });
     let server = start_server(config.listen, clients, phase, frontend).await?;
     Ok(RunningTasks { servers: vec![server], actors, _inventory: None })
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -17,7 +17,7 @@
 /// Commands taken into one batch at most, so that a flood of them cannot keep the scheduler from deciding.
 const MAX_BATCH_LEN: usize = 512;
 
-/// What the router is told by its handles.
+/// A command from a handle to its router.
 pub(super) enum Command<P, R> {
     Submit { request: IncomingRequest, payload: P, responder: oneshot::Sender<FinalAnswer<R>> },
     ClientDisconnected(RequestId),
@@ -126,7 +126,7 @@
         self.timers.peek().is_some_and(|timer| timer.0.due_at_us <= now_us)
     }
 
-    /// Takes a command in; returns the event that the scheduler is notified of.
+    /// Handles a command; returns the event that the scheduler is notified of.
     fn handle_command(&mut self, command: Command<P, R>, now_us: u64) -> Option<Event> {
         match command {
             Command::Submit { request, payload, responder } => {
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -6,7 +6,7 @@
 use super::request::{Placement, RateLimitCharge, Request, RequestState};
 use super::volume::Volume;
 
-/// A node whose service time is unknown is taken to serve a request in this part of the tightest objective.
+/// A node whose service time is unknown is assumed to serve a request in this part of the tightest objective.
 const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
 /// A failing node's expected wait counts so many times.
 const FAILING_NODE_PENALTY: f64 = 10.0;
@@ -24,7 +24,7 @@
 }
 
 impl Scheduler {
-    /// Takes in a request that has arrived.
+    /// Handles a request that has arrived.
     pub(super) fn admit(&mut self, incoming: &IncomingRequest, actions: &mut Vec<Action>) {
         self.retry_usage.record_request(self.now_us);
         let is_known =
@@ -53,8 +53,8 @@
         self.enqueue(incoming.id);
     }
 
-    /// When an answer no longer earns the full priority weight. A client that has less time left than clients
-    /// of its class had at most is taken to have begun to wait so much earlier, at another gateway.
+    /// When an answer no longer earns the full priority weight. A client with less time left than clients of
+    /// its class usually have is assumed to have waited for the difference at another gateway.
     fn objective_at_us(&mut self, incoming: &IncomingRequest) -> u64 {
         let class = &self.settings.classes[incoming.class];
         let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -22,7 +22,7 @@
 const PAUSE_OBJECTIVE_DIVISOR: u64 = 3;
 
 impl Scheduler {
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt.
     pub(super) fn end_attempt(&mut self, report: &AttemptReport, actions: &mut Vec<Action>) {
         let request = self.requests.get_mut(&report.request);
         let Some(attempt) = request.and_then(|request| request.take_attempt()) else { return };
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes in what the report tells of the volume's service through other gateways.
+    /// Records what the report tells of the volume's service through other gateways.
     fn record_volume_rates(&mut self, report: &AttemptReport) {
         let request = &self.requests[&report.request];
         let plan = &self.settings.plans[request.plan];
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes in how long the attempt was queued at its node, which its pacing follows.
+    /// Records how long the attempt was queued at its node, which its pacing follows.
     fn record_queueing_delay(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let tightest_objective_us = self.tightest_objective_us;
         let units = self.requests[&report.request].units;
@@ -103,7 +103,7 @@
         });
     }
 
-    /// Takes in what the outcome tells of the node's health and latency.
+    /// Records what the outcome tells of the node's health and latency.
     fn record_outcome(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let now_us = self.now_us;
         let connect_us = self.settings.connect_timeout_us.max(self.settings.batch_interval_us);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Takes in the latency of an attempt that succeeded.
+    /// Records the latency of an attempt that succeeded.
     fn record_success(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let scale = ServiceScale {
             tightest_objective_us: self.tightest_objective_us,
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -79,7 +79,7 @@
         self.recent_mean = latency_per_unit;
     }
 
-    /// Takes in the latency of an answer, in microseconds per unit.
+    /// Records the latency of an answer, in microseconds per unit.
     pub(super) fn record(&mut self, latency_per_unit: f64) {
         self.recent_mean += 2.0 * AVERAGING_WEIGHT * (latency_per_unit - self.recent_mean);
         self.samples.push_back(latency_per_unit);
@@ -171,7 +171,7 @@
         self.interval_us > 0.0
     }
 
-    /// Takes in that an attempt is sent; `jitter` varies the gap after it.
+    /// Records that an attempt is sent; `jitter` varies the gap after it.
     pub(super) fn record_send(&mut self, now_us: u64, jitter: f64) {
         self.last_sent_at_us = now_us;
         self.gap_us = self.interval_us * jitter;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -164,8 +164,7 @@
         self.now_us + node.expected_latency(request.units) as u64 > request.objective_at_us
     }
 
-    /// What a unit of this request is worth if it is sent to this node now, relative to the most that one can
-    /// be.
+    /// The priority of this request if it is sent to this node now, relative to the highest possible.
     fn priority(&self, request: &Request, node: &NodeState) -> f64 {
         let class = &self.settings.classes[request.class];
         let plan = &self.settings.plans[request.plan];
--- a/src/scheduler/endpoints.rs
+++ b/src/scheduler/endpoints.rs
@@ -7,7 +7,7 @@
 use super::settings::SchedulerSettings;
 use super::slow_start::SlowStartBucket;
 
-/// RULE drains: after a failed call a change counts as announced 6 s after discovery had it and could be
+/// RULE draining: after a failed call a change counts as announced 6 s after discovery had it and could be
 /// reached. The next call begins so much sooner as it may take to bring the change, 1.5 s.
 const MAX_POLL_PERIOD_US: u64 = 4_500_000;
 /// So many gateways need no spreading of their calls.
@@ -41,7 +41,7 @@
         self.next_at_us.is_some()
     }
 
-    /// Takes in that a call failed: the watch may be broken, and is made anew in this gateway's turn.
+    /// Records that a call failed: the watch may be broken, and is made anew in this gateway's turn.
     fn record_failure(&mut self, settings: &SchedulerSettings, now_us: u64) {
         let shortest_us = poll_spread_us(settings)
             .max(settings.max_poll_interval_us / MIN_PERIOD_DIVISOR)
@@ -70,7 +70,7 @@
 }
 
 impl Scheduler {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn update_endpoints(&mut self, update: &EndpointUpdate) {
         let endpoints = match update {
             EndpointUpdate::PollFailed => {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// RULE drains: how long nodes that this update announces as draining may still be sent work. The grace
+    /// RULE draining: how long nodes that this update announces as draining may still be sent work. The grace
     /// runs from the announcement, which was earlier than it came where calls have failed or the whole list
     /// had to be sent; then there is none.
     fn drain_grace_us(&self, is_delta: bool) -> u64 {
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -20,7 +20,7 @@
         self.finish_times.get(&volume).copied().unwrap_or(0.0).max(self.virtual_time)
     }
 
-    /// Takes in that a request of the volume is served.
+    /// Records that a request of the volume is served.
     pub(super) fn serve(&mut self, volume: VolumeId, units: f64, weight: f64) {
         let finish_time = self.finish_times.entry(volume).or_insert(0.0);
         self.virtual_time = finish_time.max(self.virtual_time);
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -34,20 +34,20 @@
         self.retry_at_us
     }
 
-    /// Takes in that the node answered.
+    /// Records that the node answered.
     pub(super) fn record_answer(&mut self) {
         self.consecutive_failures = 0;
         self.unanswered_us = 0.0;
     }
 
-    /// Takes in that an attempt ended unanswered after this long; returns how long such attempts took since
+    /// Records that an attempt ended unanswered after this long; returns how long such attempts took since
     /// the last answer, in microseconds.
     pub(super) fn record_silence(&mut self, latency_us: u64) -> f64 {
         self.unanswered_us += latency_us as f64;
         self.unanswered_us
     }
 
-    /// Takes in a failure: the node is tried again after a backoff that doubles each time. The first ones are
+    /// Records a failure: the node is tried again after a backoff that doubles each time. The first ones are
     /// short: a single connection that broke says little of its node, and a pause as long as the objective
     /// fails everything that is queued.
     pub(super) fn record_failure(&mut self, now_us: u64, initial_backoff_us: u64, max_backoff_us: u64) {
--- a/src/scheduler/latency_model.rs
+++ b/src/scheduler/latency_model.rs
@@ -136,7 +136,7 @@
 }
 
 impl LatencyModel {
-    /// Takes in that a request was served.
+    /// Records that a request was served.
     pub(super) fn record(&mut self, now_us: u64, latency_us: u64) {
         self.completions.push_back(Completion { at_us: now_us, latency_us: latency_us as f64 });
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes in a batch of events and appends what is decided. What is sent is decided after the whole batch
+    /// Handles a batch of events and appends what is decided. What is sent is decided after the whole batch
     /// is seen.
     pub fn handle(&mut self, now_us: u64, events: &[Event], actions: &mut Vec<Action>) {
         self.now_us = now_us;
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -118,13 +118,13 @@
         self.queueing_delay_us + self.service_time_us * units
     }
 
-    /// Takes in the end of an attempt.
+    /// Handles the end of an attempt.
     pub(super) fn release_attempt(&mut self, presumed_lost: bool) {
         self.in_flight -= 1;
         self.presumed_lost -= u32::from(presumed_lost);
     }
 
-    /// Takes in that an attempt succeeded.
+    /// Records that an attempt succeeded.
     pub(super) fn record_success(&mut self, now_us: u64, latency_us: u64, units: f64, scale: ServiceScale) {
         let latency = latency_us as f64;
         let latency_per_unit = latency / units.max(1.0);
@@ -146,7 +146,7 @@
         self.window.adjust(uses_up_objective, self.in_flight);
     }
 
-    /// Takes in a failure of the node: its window starts anew, and the next attempt waits for a backoff.
+    /// Records a failure of the node: its window starts anew, and the next attempt waits for a backoff.
     pub(super) fn record_failure(&mut self, now_us: u64, initial_backoff_us: u64, max_backoff_us: u64) {
         self.window.collapse();
         self.health.record_failure(now_us, initial_backoff_us, max_backoff_us);
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -1,4 +1,4 @@
-//! A request that the scheduler knows: where it stands, and what it is worth when.
+//! A request that the scheduler knows, from its arrival until nothing of it is in flight.
 
 use super::event::{BlockId, ShardId, VolumeId};
 use super::node::NodeIndex;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes in that the request has its final answer; returns whether it had none before.
+    /// Records that the request has its final answer; returns whether it had none before.
     pub(super) fn mark_answered(&mut self) -> bool {
         if self.is_answered() {
             return false;
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// RULE budget: the requests received and the retries sent within the budget's window.
+/// RULE retry budget: the requests received and the retries sent within the budget's window.
 pub(super) struct RetryUsage {
     budget: Option<RetryBudget>,
     requests_at_us: VecDeque<u64>,
@@ -21,14 +21,14 @@
         RetryUsage { budget, requests_at_us: VecDeque::new(), retries_at_us: VecDeque::new() }
     }
 
-    /// Takes in that a request was received.
+    /// Records that a request was received.
     pub(super) fn record_request(&mut self, now_us: u64) {
         if self.budget.is_some() {
             self.requests_at_us.push_back(now_us);
         }
     }
 
-    /// Takes in that a retry is sent.
+    /// Records that a retry is sent.
     pub(super) fn record_retry(&mut self, now_us: u64) {
         if self.budget.is_some() {
             self.retries_at_us.push_back(now_us);
@@ -52,7 +52,7 @@
     ready_at_us: u64,
 }
 
-/// RULE order: the requests for each block that run one at a time, in order of arrival.
+/// RULE ordering: the requests for each block that run one at a time, in order of arrival.
 #[derive(Default)]
 pub(super) struct OrderingQueues(FxHashMap<BlockId, BlockQueue>);
 
@@ -83,8 +83,8 @@
 }
 
 impl Scheduler {
-    /// RULE effects: whether a request may be sent (again), to this node where one is named. What is sent now
-    /// may be written as late as connections are waited for.
+    /// RULE idempotency: whether a request may be sent (again), to this node where one is named. What is sent
+    /// now may be written as late as connections are waited for.
     pub(super) fn may_be_sent(&self, request: &Request, to: Option<NodeIndex>) -> bool {
         let Some(earlier) = request.possible_execution else { return true };
         match self.settings.classes[request.class].idempotency {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The block whose requests this one is ordered among, if its class asks for that.
+    /// The block whose requests this one is ordered among, if its class requires order.
     pub(super) fn ordering_block(&self, request: &Request) -> Option<BlockId> {
         request.block.filter(|_| self.settings.classes[request.class].ordered_by_key)
     }
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -37,7 +37,7 @@
     pub latency_objective_us: Option<u64>,
     /// The time that a client waits in all.
     pub deadline_us: u64,
-    /// What serving a request is worth, relative to other classes.
+    /// The weight of a served request, relative to other classes.
     pub priority_weight: f64,
     /// The fraction of the priority weight that an answer past the objective earns.
     pub late_weight_factor: f64,
@@ -101,7 +101,7 @@
     pub window_us: u64,
 }
 
-/// What a scheduler is told when it starts.
+/// The settings of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerSettings {
     /// The request classes; requests name them by index.
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,11 +1,14 @@
 //! What a node that has just started may be sent by this gateway.
 //!
-//! RULE cold nodes: what a warming-up node is sent is taken from a token bucket, in units. It holds half of
-//! this gateway's even part of what the node bears for sure in a window, and fills by as much. EXCEPTION: of
-//! many gateways none would have a whole request, and the node would idle. So it holds a mean request, and
-//! fills by three quarters of what overloads the node, as told by what the shard served this gateway while
-//! warm. Over all gateways these parts add up, whatever their number. Guards against any return of a node
-//! before many gateways; sends little where traffic has moved.
+//! RULE slow start: a node that is warming up is overloaded by the sum of what all gateways send it. Each
+//! gateway sends from a token bucket for that node, in units. The bucket holds half of this gateway's even
+//! part of what the node is guaranteed to bear in a window, and fills at that rate.
+//!
+//! EXCEPTION: with many gateways no bucket would hold a complete request, and the node would idle. So a
+//! bucket holds at least a mean request, and fills at three quarters of the overloading rate, derived from
+//! what the shard served this gateway while its node was warm. Over all gateways these parts add up, whatever
+//! their number. Guards against any return of a node before many gateways; sends little where traffic has
+//! moved to another gateway.
 
 use super::event::ShardId;
 use super::node::NodeState;
@@ -84,7 +87,7 @@
     gateway_started_at_us: u64,
     /// What each shard served this gateway while its node was warm.
     served: FxHashMap<ShardId, RateEstimator>,
-    /// What this gateway was asked for of each shard within the reservations.
+    /// What was requested of each shard through this gateway within the reservations.
     requested: FxHashMap<ShardId, RateEstimator>,
 }
 
@@ -159,28 +162,27 @@
         self.policy.map_or(RATE_AVERAGING_TIME_US, |policy| policy.warm_up_us.max(1) as f64) / 1e6
     }
 
-    /// Takes in what a shard served this gateway while its node was warm.
+    /// Records what a shard served this gateway while its node was warm.
     pub(super) fn record_served(&mut self, shard: ShardId, units: f64, at_us: u64) {
         let averaging_time_s = self.warm_up_time_s();
         let unseen = RateEstimator::starting_at(self.gateway_started_at_us);
         self.served.entry(shard).or_insert(unseen).record(units, at_us, averaging_time_s);
     }
 
-    /// Takes in what this gateway was asked for of a shard within the reservations.
+    /// Records what was requested of a shard through this gateway within the reservations.
     pub(super) fn record_requested(&mut self, shard: ShardId, units: f64, at_us: u64) {
         let averaging_time_s = self.warm_up_time_s();
         let unseen = RateEstimator::starting_at(self.gateway_started_at_us);
         self.requested.entry(shard).or_insert(unseen).record(units, at_us, averaging_time_s);
     }
 
-    /// The rate at which a shard is taken to have served this gateway while its node was warm, in units per
-    /// second.
+    /// The rate at which a shard served this gateway while its node was warm, in units per second.
     ///
-    /// EXCEPTION: one of many gateways that started too shortly before the node to have seen that takes what
-    /// it is asked for within the reservations instead: over all gateways these are a part of what the node
-    /// can do. Guards against gateways that restart during a release; they would send a warming-up node next
-    /// to nothing until it is warm. May send more than is borne for sure where reservations are promised
-    /// beyond what nodes can do.
+    /// EXCEPTION: one of many gateways that started too shortly before the node to have seen that uses the
+    /// rate of requests within the reservations instead: over all gateways these are a part of what the node
+    /// can do. Guards against gateways that restart during a release, which would send a warming-up node next
+    /// to nothing until it is warm. May send more than the node is guaranteed to bear where reservations
+    /// exceed what nodes can do.
     fn shard_rate(&self, shard: ShardId) -> f64 {
         let served = self.served.get(&shard).copied().unwrap_or_default();
         let has_seen_little = served.observed_s < self.warm_up_time_s() * MIN_OBSERVED_FRACTION;
--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -34,8 +34,8 @@
 }
 
 impl Volume {
-    /// RULE limit: each gateway spends its even part of the bucket. A gateway that may have been here before
-    /// it started takes that part as spent, down to the overdraft, at its start.
+    /// RULE rate limit: each gateway spends its even part of the bucket. A gateway that may have been here
+    /// before it started takes that part as spent, down to the overdraft, at its start.
     pub(super) fn new(plan: &ServicePlan, gateways: f64, max_request_units: f64, started_at_us: u64) -> Self {
         let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
         Volume {
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Takes in that units were requested through this gateway.
+    /// Records that units were requested through this gateway.
     pub(super) fn record_own(&mut self, units: f64) {
         self.own_rate += units / RATE_AVERAGING_TIME_S;
     }
 
-    /// Takes in that a node served units through other gateways.
+    /// Records that a node served units through other gateways.
     pub(super) fn record_others(&mut self, units: f64) {
         self.other_rate += units / RATE_AVERAGING_TIME_S;
     }
 
-    /// Takes in the rate at which the volume was served everywhere, in percent of the provisioned rate.
+    /// Records the rate at which the volume was served everywhere, in percent of the provisioned rate.
     pub(super) fn record_metered(&mut self, percent: f64, plan: &ServicePlan) {
         self.other_rate = (percent / 100.0 * plan.provisioned_rate - self.own_rate).max(0.0);
     }
@@ -106,12 +106,12 @@
         self.limit_tokens - units >= -overdraft / self.gateways + ROUNDING_UNITS
     }
 
-    /// Takes in that units are queued.
+    /// Records that units are queued.
     pub(super) fn queue(&mut self, units: f64) {
         self.uncharged_units += units;
     }
 
-    /// Takes in that units left the queue without being charged to the limit.
+    /// Records that units left the queue without being charged to the limit.
     pub(super) fn unqueue(&mut self, units: f64) {
         self.uncharged_units -= units;
     }
--- a/src/transport/connection_pool.rs
+++ b/src/transport/connection_pool.rs
@@ -176,13 +176,16 @@
         Some(pooled) => pooled,
         None => match open_connection(&mut exchange, address, &limits, started_at).await {
             Ok(pooled) => pooled,
-            Err(failure) => return (exchange.on_event)(failure.into()),
+            Err(failure) => return (exchange.on_event)(ExchangeEvent::Failed(failure)),
         },
     };
     let ExchangeEnd { event, connection_reusable } = match (exchange.build_request)() {
         Some(request) => run_exchange(&mut exchange, &mut pooled.connection, request).await,
         // The connection is as good as before.
-        None => ExchangeEnd { event: ExchangeEvent::NotStarted, connection_reusable: true },
+        None => ExchangeEnd {
+            event: ExchangeEvent::Failed(ExchangeFailure::NotStarted),
+            connection_reusable: true,
+        },
     };
     if let Some(commands) = commands.upgrade() {
         if connection_reusable {
@@ -220,7 +223,8 @@
 /// Whether an idle connection last used before this exchange may lead to the same dead machine: a request
 /// written to it would be lost as well.
 fn casts_doubt_on_idle_connections(event: &ExchangeEvent) -> bool {
-    matches!(event, ExchangeEvent::TimedOut | ExchangeEvent::ConnectionReset | ExchangeEvent::ConnectFailed)
+    use ExchangeFailure::{ConnectFailed, ConnectionReset, TimedOut};
+    matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | ConnectFailed))
 }
 
 #[cfg(test)]
--- a/src/transport/exchange.rs
+++ b/src/transport/exchange.rs
@@ -66,6 +66,13 @@
     StreamStarted(Response<StreamedBody>),
     /// The streamed body is complete.
     StreamCompleted,
+    /// It ended without a complete response.
+    Failed(ExchangeFailure),
+}
+
+/// Why an exchange ended without a complete response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ExchangeFailure {
     /// No descriptor is left for a connection.
     DescriptorsExhausted,
     /// Cancelled or no longer wanted before it was written completely: the node has not begun it, and that
@@ -84,18 +91,6 @@
     Cancelled,
 }
 
-/// Why an exchange ended without a complete response: the failures of [`ExchangeEvent`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ExchangeFailure {
-    DescriptorsExhausted,
-    NotStarted,
-    ConnectFailed,
-    ConnectionReset,
-    MalformedResponse,
-    TimedOut,
-    Cancelled,
-}
-
 impl From<ExchangeError> for ExchangeFailure {
     fn from(error: ExchangeError) -> Self {
         match error {
@@ -106,20 +101,6 @@
     }
 }
 
-impl From<ExchangeFailure> for ExchangeEvent {
-    fn from(failure: ExchangeFailure) -> Self {
-        match failure {
-            ExchangeFailure::DescriptorsExhausted => ExchangeEvent::DescriptorsExhausted,
-            ExchangeFailure::NotStarted => ExchangeEvent::NotStarted,
-            ExchangeFailure::ConnectFailed => ExchangeEvent::ConnectFailed,
-            ExchangeFailure::ConnectionReset => ExchangeEvent::ConnectionReset,
-            ExchangeFailure::MalformedResponse => ExchangeEvent::MalformedResponse,
-            ExchangeFailure::TimedOut => ExchangeEvent::TimedOut,
-            ExchangeFailure::Cancelled => ExchangeEvent::Cancelled,
-        }
-    }
-}
-
 /// The end of an exchange on a connection.
 pub(super) struct ExchangeEnd {
     /// The final event.
--- a/src/transport/exchange/runner.rs
+++ b/src/transport/exchange/runner.rs
@@ -34,7 +34,7 @@
                 ExchangeFailure::Cancelled if !connection.is_request_written() => ExchangeFailure::NotStarted,
                 failure => failure,
             };
-            ExchangeEnd { event: failure.into(), connection_reusable: false }
+            ExchangeEnd { event: ExchangeEvent::Failed(failure), connection_reusable: false }
         }
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -31,7 +31,7 @@
 pub use body::{GuardedBody, ResponseBody, full_body};
 pub use client_connection::{Admission, RequestContext};
 pub use connection_pool::{ConnectionPool, PoolLimits};
-pub use exchange::{Exchange, ExchangeEvent, StreamedBody, StreamingRule};
+pub use exchange::{Exchange, ExchangeEvent, ExchangeFailure, StreamedBody, StreamingRule};
 pub use lifecycle::LifecyclePhase;
 pub use node_connection::{ExchangeError, NodeConnection};
 pub use server::{ConnectionLimits, serve};
