--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -8,7 +8,8 @@
 
 /// Carries attempts to the storage nodes and watches their endpoint list.
 pub trait AttemptTransport<P> {
-    /// Starts an attempt; its end comes back through [`RouterHandle::attempt_ended`](super::RouterHandle).
+    /// Starts an attempt; its end comes back through
+    /// [`RouterHandle::attempt_ended`](super::RouterHandle::attempt_ended).
     fn start(&mut self, attempt: Attempt<P>);
     /// Watches the endpoint list from now on.
     fn watch_endpoints(&mut self);
--- a/src/routing/handle.rs
+++ b/src/routing/handle.rs
@@ -1,4 +1,4 @@
-//! The address of the router's actor.
+//! The handle to the router's actor.
 
 use super::pending::PendingResponse;
 use super::router::Command;
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -26,43 +26,57 @@
     }
 }
 
-/// How many outcomes an attempt can have.
-const OUTCOME_COUNT: usize = 8;
-
 /// What a router received, sent and answered.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
     /// Requests received.
     pub received: Counter,
-    /// Attempts handed to the transport.
-    pub attempts_sent: Counter,
     /// Requests served.
     pub served: Counter,
     /// Requests rejected.
     pub rejected: Counter,
     /// Requests failed.
     pub failed: Counter,
-    /// Requests whose clients left before the answer.
+    /// Requests whose clients disconnected before the answer.
     pub abandoned: Counter,
-    attempt_outcomes: [Counter; OUTCOME_COUNT],
+    /// Attempts handed to the transport.
+    pub attempts_sent: Counter,
+    attempts_succeeded: Counter,
+    attempts_failed: Counter,
+    attempts_rejected: Counter,
+    attempts_timed_out: Counter,
+    attempts_not_connected: Counter,
+    attempts_reset: Counter,
+    attempts_cancelled: Counter,
+    attempts_not_sent: Counter,
 }
 
 impl RequestMetrics {
     pub(super) fn count_attempt(&self, outcome: AttemptOutcome) {
-        self.attempt_outcomes[outcome as usize].increment();
+        let counter = match outcome {
+            AttemptOutcome::Succeeded => &self.attempts_succeeded,
+            AttemptOutcome::Failed => &self.attempts_failed,
+            AttemptOutcome::Rejected => &self.attempts_rejected,
+            AttemptOutcome::TimedOut => &self.attempts_timed_out,
+            AttemptOutcome::ConnectFailed => &self.attempts_not_connected,
+            AttemptOutcome::ConnectionReset => &self.attempts_reset,
+            AttemptOutcome::Cancelled => &self.attempts_cancelled,
+            AttemptOutcome::NotSent => &self.attempts_not_sent,
+        };
+        counter.increment();
     }
 
     pub(super) fn count_answer<R>(&self, answer: &FinalAnswer<R>) {
-        match answer {
-            FinalAnswer::Served(_) => self.served.increment(),
-            FinalAnswer::Rejected { .. } => self.rejected.increment(),
-            FinalAnswer::Failed => self.failed.increment(),
-        }
+        let counter = match answer {
+            FinalAnswer::Served(_) => &self.served,
+            FinalAnswer::Rejected { .. } => &self.rejected,
+            FinalAnswer::Failed => &self.failed,
+        };
+        counter.increment();
     }
 
     /// The counters by the names that the administration API and the log give them.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
-        let outcome = |outcome: AttemptOutcome| self.attempt_outcomes[outcome as usize].get();
         BTreeMap::from([
             ("requests_taken", self.received.get()),
             ("requests_served", self.served.get()),
@@ -70,14 +84,14 @@
             ("requests_failed", self.failed.get()),
             ("requests_gone", self.abandoned.get()),
             ("attempts_sent", self.attempts_sent.get()),
-            ("attempts_ok", outcome(AttemptOutcome::Succeeded)),
-            ("attempts_error", outcome(AttemptOutcome::Failed)),
-            ("attempts_full", outcome(AttemptOutcome::Rejected)),
-            ("attempts_timed_out", outcome(AttemptOutcome::TimedOut)),
-            ("attempts_unreachable", outcome(AttemptOutcome::ConnectFailed)),
-            ("attempts_reset", outcome(AttemptOutcome::ConnectionReset)),
-            ("attempts_cancelled", outcome(AttemptOutcome::Cancelled)),
-            ("attempts_not_sent", outcome(AttemptOutcome::NotSent)),
+            ("attempts_ok", self.attempts_succeeded.get()),
+            ("attempts_error", self.attempts_failed.get()),
+            ("attempts_full", self.attempts_rejected.get()),
+            ("attempts_timed_out", self.attempts_timed_out.get()),
+            ("attempts_unreachable", self.attempts_not_connected.get()),
+            ("attempts_reset", self.attempts_reset.get()),
+            ("attempts_cancelled", self.attempts_cancelled.get()),
+            ("attempts_not_sent", self.attempts_not_sent.get()),
         ])
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -27,7 +27,8 @@
     Served(R),
     /// Rejected: the request had no effect, or repeating it is harmless.
     Rejected {
-        /// When the client should come back, counted from now, in microseconds; none if there is no advice.
+        /// When the client should retry (`Retry-After`), counted from now, in microseconds; none if there is
+        /// no advice.
         retry_after_us: Option<u64>,
     },
     /// Failed: the request may have run.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -33,9 +33,11 @@
     responder: Option<oneshot::Sender<FinalAnswer<R>>>,
     interest: ClientInterest,
     expires_at_us: u64,
-    attempts: u32,
+    /// Numbers the attempts, as the scheduler does. Only an attempt that could not be sent is not counted
+    /// here, and it is never followed by another.
+    attempts_started: u32,
     /// The scheduler has at most one attempt of a request in flight.
-    in_flight: Option<InFlightAttempt>,
+    attempt: Option<InFlightAttempt>,
 }
 
 struct InFlightAttempt {
@@ -96,19 +98,28 @@
                 }
             };
             tokio::select! {
-                received = self.commands.recv_many(&mut commands, MAX_BATCH_LEN) => if received == 0 { return },
+                received = self.commands.recv_many(&mut commands, MAX_BATCH_LEN) => {
+                    if received == 0 {
+                        return;
+                    }
+                }
                 () = timer_due => {}
             }
             let now_us = self.clock.now_us();
             let events =
                 commands.drain(..).filter_map(|command| self.handle_command(command, now_us)).collect();
-            self.decide(events, now_us, &mut transport);
+            self.run_scheduler(events, now_us, &mut transport);
         }
     }
 
-    /// Lets the scheduler decide on a batch of events and on the timers that are due, and carries out its
-    /// actions. An attempt that can no longer be sent ends at once, which is an event for a further batch.
-    fn decide(&mut self, mut events: Vec<Event>, now_us: u64, transport: &mut impl AttemptTransport<P>) {
+    /// Runs the scheduler on these events and the due timers, and applies its actions, until no event is
+    /// left. An attempt that can no longer be sent yields an event for the next batch.
+    fn run_scheduler(
+        &mut self,
+        mut events: Vec<Event>,
+        now_us: u64,
+        transport: &mut impl AttemptTransport<P>,
+    ) {
         while !events.is_empty() || self.timer_is_due(now_us) {
             while self.timer_is_due(now_us) {
                 events.extend(self.timers.pop().map(|timer| Event::TimerFired(timer.0.token)));
@@ -156,15 +167,15 @@
         responder: oneshot::Sender<FinalAnswer<R>>,
     ) -> Event {
         self.metrics.received.increment();
-        let in_flight = InFlightRequest {
+        let entry = InFlightRequest {
             payload: Rc::new(payload),
             responder: Some(responder),
             interest: ClientInterest::new(),
             expires_at_us: request.expires_at_us,
-            attempts: 0,
-            in_flight: None,
+            attempts_started: 0,
+            attempt: None,
         };
-        self.requests.insert(request.id, in_flight);
+        self.requests.insert(request.id, entry);
         Event::RequestArrived(request)
     }
 
@@ -175,20 +186,20 @@
         mut result: AttemptResult<R>,
         now_us: u64,
     ) -> Option<Event> {
-        let ended =
-            self.requests.get_mut(&request)?.in_flight.take_if(|in_flight| in_flight.number == attempt)?;
+        let entry = self.requests.get_mut(&request)?;
+        let ended = entry.attempt.take_if(|in_flight| in_flight.number == attempt)?;
         self.metrics.count_attempt(result.outcome);
         if let Some(response) = result.response.take().filter(|_| result.outcome == AttemptOutcome::Succeeded)
         {
             self.answer(request, FinalAnswer::Served(response));
         }
-        let event = self.attempt_report(request, ended.node, ended.sent_at_us, &result, now_us);
+        let event = self.attempt_ended_event(request, ended.node, ended.sent_at_us, &result, now_us);
         self.remove_if_complete(request);
         Some(event)
     }
 
-    /// What the scheduler is notified of at the end of an attempt.
-    fn attempt_report(
+    /// The event that notifies the scheduler of the end of an attempt.
+    fn attempt_ended_event(
         &self,
         request: RequestId,
         node: NodeId,
@@ -200,7 +211,7 @@
             request,
             outcome: result.outcome,
             latency_us: now_us.saturating_sub(sent_at_us),
-            complete: self.requests.get(&request).is_none_or(|r| r.responder.is_none()),
+            complete: self.requests.get(&request).is_none_or(|entry| entry.responder.is_none()),
             node,
             volume_rate_percent: result.volume_rate_percent,
             units_via_other_gateways: result.units_via_other_gateways,
@@ -245,49 +256,49 @@
         now_us: u64,
         transport: &mut impl AttemptTransport<P>,
     ) -> Option<Event> {
-        let owed = |r: &&mut InFlightRequest<P, R>| r.responder.is_some() && now_us < r.expires_at_us;
-        let Some(in_flight) = self.requests.get_mut(&request).filter(owed) else {
+        let is_owed =
+            |entry: &&mut InFlightRequest<P, R>| entry.responder.is_some() && now_us < entry.expires_at_us;
+        let Some(entry) = self.requests.get_mut(&request).filter(is_owed) else {
             let result = AttemptResult::without_response(AttemptOutcome::NotSent);
             self.metrics.count_attempt(result.outcome);
-            return Some(self.attempt_report(request, node, now_us, &result, now_us));
+            return Some(self.attempt_ended_event(request, node, now_us, &result, now_us));
         };
         self.metrics.attempts_sent.increment();
-        let number = in_flight.attempts;
-        in_flight.attempts += 1;
+        let number = entry.attempts_started;
+        entry.attempts_started += 1;
         let (cancel, cancelled) = oneshot::channel();
-        let attempt =
-            InFlightAttempt { number, node: node.clone(), sent_at_us: now_us, cancel: Some(cancel) };
-        in_flight.in_flight = Some(attempt);
-        let expires_at_us = in_flight.expires_at_us;
+        entry.attempt =
+            Some(InFlightAttempt { number, node: node.clone(), sent_at_us: now_us, cancel: Some(cancel) });
+        let expires_at_us = entry.expires_at_us;
         let deadline_us =
             timeout_us.map_or(expires_at_us, |timeout_us| expires_at_us.min(now_us + timeout_us));
         transport.start(Attempt {
             request,
             number,
             node,
-            payload: in_flight.payload.clone(),
+            payload: entry.payload.clone(),
             deadline: self.clock.instant_at(deadline_us),
             cancelled,
-            interest: in_flight.interest.clone(),
+            interest: entry.interest.clone(),
         });
         None
     }
 
-    fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
-        let in_flight = self.requests.get_mut(&request).and_then(|r| r.in_flight.as_mut());
-        if let Some(in_flight) = in_flight.filter(|in_flight| in_flight.number == attempt) {
-            in_flight.cancel = None;
+    fn cancel_attempt(&mut self, request: RequestId, number: u32) {
+        let attempt = self.requests.get_mut(&request).and_then(|entry| entry.attempt.as_mut());
+        if let Some(attempt) = attempt.filter(|attempt| attempt.number == number) {
+            attempt.cancel = None;
         }
     }
 
     /// Takes the right to give the final answer, if one is still owed; from now on no attempt may begin.
     fn take_responder(&mut self, request: RequestId) -> Option<oneshot::Sender<FinalAnswer<R>>> {
-        let in_flight = self.requests.get_mut(&request)?;
-        in_flight.interest.end();
-        in_flight.responder.take()
+        let entry = self.requests.get_mut(&request)?;
+        entry.interest.end();
+        entry.responder.take()
     }
 
-    /// Gives the final answer, once: what comes later finds none owed.
+    /// Gives the final answer; does nothing if it has been given.
     fn answer(&mut self, request: RequestId, answer: FinalAnswer<R>) {
         let Some(responder) = self.take_responder(request) else { return };
         self.metrics.count_answer(&answer);
@@ -297,7 +308,11 @@
 
     /// Removes a request that owes nothing and has no attempt in flight.
     fn remove_if_complete(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|r| r.responder.is_none() && r.in_flight.is_none()) {
+        if self
+            .requests
+            .get(&request)
+            .is_some_and(|entry| entry.responder.is_none() && entry.attempt.is_none())
+        {
             self.requests.remove(&request);
         }
     }
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -25,7 +25,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should come back, counted from now; none if there is no advice.
+        /// When the client should retry (`Retry-After`), counted from now; none if there is no advice.
         retry_after_us: Option<u64>,
     },
     /// The request failed; it may have run.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -8,11 +8,12 @@
 
 /// A node whose service time is unknown is assumed to serve a request in this part of the tightest objective.
 const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
-/// A failing node's expected wait counts so many times.
+/// The expected wait at a failing node is multiplied by this.
 const FAILING_NODE_PENALTY: f64 = 10.0;
-/// A warming-up node's expected wait counts up to the inverse of this.
-const MIN_CAPACITY: f64 = 0.1;
-/// New objects are spread by this much randomness over nodes that promise the same wait.
+/// The expected wait at a warming-up node is divided by its capacity, or by this if that is larger.
+const MIN_ASSUMED_CAPACITY: f64 = 0.1;
+/// Expected waits are multiplied by a random factor from one to one plus this, so that equal nodes share new
+/// objects.
 const PLACEMENT_JITTER: f64 = 0.1;
 
 /// What becomes of a request at its volume.
@@ -61,14 +62,17 @@
         let longest_us = &mut self.longest_timeouts_us[incoming.class];
         *longest_us = (*longest_us).max(left_us.min(class.deadline_us));
         let began_at_us = self.now_us.saturating_sub(longest_us.saturating_sub(left_us));
-        let service_time = self.nodes.first().map_or(0.0, |node| node.service_time_us * incoming.units);
-        let stretch_us = (class.objective_stretch * service_time) as u64;
+        // Any node stands for all: the stretch needs only the order of magnitude.
+        let service_time_us =
+            self.nodes.first().map_or(0.0, |node| node.service_time_per_unit_us * incoming.units);
+        let stretch_us = (class.objective_stretch * service_time_us) as u64;
         let objective_us = class.latency_objective_us.unwrap_or(0) + stretch_us;
         began_at_us + objective_us.min(class.deadline_us)
     }
 
-    /// Queues a request at its volume. What the rate limit will not admit within its objective is rejected at
-    /// once, with advice on when to come back: queued, it would keep all that comes after it late as well.
+    /// Counts the request at its volume and decides whether it is rejected by the rate limit, admitted within
+    /// the reservation, or admitted beyond it. A request that the rate limit cannot admit within its
+    /// objective is rejected at once: queued, it would delay everything behind it.
     fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
         let plan = &self.settings.plans[incoming.plan];
         let (gateways, max_units) = (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
@@ -79,7 +83,7 @@
             .or_insert_with(|| Volume::new(plan, gateways, max_units, started_at_us));
         volume.gateways = volume.gateways.max(gateways);
         volume.advance(plan, self.now_us, max_units);
-        volume.record_own(incoming.units);
+        volume.record_requested_here(incoming.units);
         if let Some(limit) = &plan.rate_limit {
             let wait_us = volume.rate_limit_wait_us(limit, incoming.units);
             let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
@@ -88,7 +92,7 @@
                 return VolumeAdmission::RateLimited { wait_us };
             }
         }
-        volume.queue(incoming.units);
+        volume.add_uncharged(incoming.units);
         VolumeAdmission::Admitted { reserved: volume.try_reserve(incoming.units) }
     }
 
@@ -139,9 +143,9 @@
                 continue;
             }
             let jitter = 1.0 + PLACEMENT_JITTER * self.rng.f64();
-            let wait = self.expected_wait_for_new_object(index) * jitter;
-            if best.is_none_or(|(shortest, _)| wait < shortest) {
-                best = Some((wait, self.nodes[index].shard));
+            let wait_us = self.expected_new_object_wait_us(index) * jitter;
+            if best.is_none_or(|(shortest, _)| wait_us < shortest) {
+                best = Some((wait_us, self.nodes[index].shard));
             }
         }
         best.map(|(_, shard)| shard)
@@ -149,23 +153,23 @@
 
     /// What a new object is likely to wait at a node, in microseconds. A node that is failing or warming up
     /// counts as slower, and one that has left an attempt unanswered as at least as slow as that.
-    fn expected_wait_for_new_object(&self, index: usize) -> f64 {
+    fn expected_new_object_wait_us(&self, index: usize) -> f64 {
         let node = &self.nodes[index];
         let mean_units = self.settings.mean_request_units;
         let queued = self.queues.get(&node.shard).map_or(0, Vec::len) as f64;
-        let latency = if node.service_time_us > 0.0 {
-            node.expected_latency(mean_units)
+        let latency_us = if node.service_time_per_unit_us > 0.0 {
+            node.expected_latency_us(mean_units)
         } else {
             self.tightest_objective_us * ASSUMED_LATENCY_FRACTION
         };
-        let latency = latency.max(node.health.oldest_in_flight_us);
+        let latency_us = latency_us.max(node.health.oldest_in_flight_us);
         let penalty = if node.health.is_failing() {
             FAILING_NODE_PENALTY
         } else {
-            1.0 / self.slow_start.capacity(node, self.now_us).max(MIN_CAPACITY)
+            1.0 / self.slow_start.capacity(node, self.now_us).max(MIN_ASSUMED_CAPACITY)
         };
-        let slow_start_wait = self.slow_start.wait_us(node, mean_units, self.now_us) as f64;
-        let ahead = queued + node.reported_in_flight.max(f64::from(node.in_flight)) + 1.0;
-        ahead * latency * penalty + slow_start_wait
+        let slow_start_wait_us = self.slow_start.wait_us(node, mean_units, self.now_us) as f64;
+        let ahead = queued + node.reported_requests.max(f64::from(node.in_flight)) + 1.0;
+        ahead * latency_us * penalty + slow_start_wait_us
     }
 }
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -4,20 +4,20 @@
 use super::action::Action;
 use super::concurrency_window::{OVERLOAD_OBJECTIVE_FRACTION, PacingSignal};
 use super::event::{AttemptOutcome, AttemptReport, RequestId};
-use super::health::LOST_AFTER_FACTOR;
+use super::health::{Backoff, LOST_AFTER_FACTOR};
 use super::node::ServiceScale;
 use super::request::{AttemptInFlight, PossibleExecution};
 
-/// The backoff after a rejection by a node starts at this part of the pause, and grows up to so many pauses.
+/// After a rejection by a node, the backoff starts at this part of the pause, and grows up to so many pauses.
 const REJECTION_BACKOFF_DIVISOR: u64 = 4;
 const MAX_REJECTION_BACKOFF_PAUSES: u64 = 2;
-/// The backoff after a broken connection starts at this part of the pause, and grows up to so many times the
+/// After a broken connection, the backoff starts at this part of the pause, and grows up to so many times the
 /// connect timeout.
 const CONNECTION_BACKOFF_DIVISOR: u64 = 8;
 const MAX_CONNECTION_BACKOFF_TIMEOUTS: u64 = 8;
-/// The backoff after silence starts at this part of the connect timeout, and grows up to so many times it.
-const SILENCE_BACKOFF_DIVISOR: u64 = 4;
-const MAX_SILENCE_BACKOFF_TIMEOUTS: u64 = 2;
+/// After timeouts, the backoff starts at this part of the connect timeout, and grows up to so many times it.
+const TIMEOUT_BACKOFF_DIVISOR: u64 = 4;
+const MAX_TIMEOUT_BACKOFF_TIMEOUTS: u64 = 2;
 /// The pause after a failure is at most this part of the tightest objective.
 const PAUSE_OBJECTIVE_DIVISOR: u64 = 3;
 
@@ -29,7 +29,8 @@
         self.record_served_units(report, &attempt);
         self.record_possible_execution(report, &attempt);
         self.record_volume_rates(report);
-        self.record_queueing_delay(report, &attempt);
+        self.record_load_report(report, &attempt);
+        self.adjust_pacing(report, &attempt);
         self.nodes[attempt.node].release_attempt(attempt.presumed_lost);
         self.record_outcome(report, &attempt);
         self.conclude(report, actions);
@@ -55,7 +56,7 @@
             self.requests[&report.request].possible_execution.get_or_insert(execution);
         }
         if may_still_run {
-            self.rest_block(report.request);
+            self.delay_block(report.request);
         }
     }
 
@@ -66,7 +67,7 @@
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
         volume.advance(plan, self.now_us, self.settings.max_request_units);
         if self.settings.reports_other_gateways {
-            volume.record_others(report.units_via_other_gateways);
+            volume.record_served_elsewhere(report.units_via_other_gateways);
         }
         let metered = report.volume_rate_percent.filter(|_| self.settings.metering_period_us.is_some());
         if let Some(percent) = metered {
@@ -74,31 +75,38 @@
         }
     }
 
-    /// Records how long the attempt was queued at its node, which its pacing follows.
-    fn record_queueing_delay(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
+    fn record_load_report(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
+        if let Some(in_flight) = report.load.in_flight {
+            self.nodes[attempt.node].reported_requests = in_flight + report.load.queued.unwrap_or(0.0);
+        }
+    }
+
+    /// Adjusts the pacing of the attempt's node by how long the attempt took beyond its service.
+    fn adjust_pacing(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let tightest_objective_us = self.tightest_objective_us;
         let units = self.requests[&report.request].units;
         let node = &mut self.nodes[attempt.node];
-        if let Some(in_flight) = report.load.in_flight {
-            node.reported_in_flight = in_flight + report.load.queued.unwrap_or(0.0);
-        }
-        // Twice the quickest eighth is about a mean: else large requests alone would look like a queue.
-        let queueing_delay_us = (report.latency_us as f64 - 2.0 * node.service_time_us * units).max(0.0);
-        // An attempt that was cut off tells only that it would have waited longer.
+        // The service time is the fastest eighth of the samples; twice that approximates the mean. Without
+        // the factor a large request would look as if it had been queued.
+        let excess_latency_us =
+            (report.latency_us as f64 - 2.0 * node.service_time_per_unit_us * units).max(0.0);
+        // A cancelled or timed-out attempt gives only a lower bound, so it counts only if that is already an
+        // overload.
         let was_cut = matches!(report.outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut)
-            && queueing_delay_us > OVERLOAD_OBJECTIVE_FRACTION * tightest_objective_us;
+            && excess_latency_us > OVERLOAD_OBJECTIVE_FRACTION * tightest_objective_us;
         if !was_cut && report.outcome != AttemptOutcome::Succeeded {
             return;
         }
-        // One request of each gateway, less what fits in the objective, is the longest queue to be spread
-        // out.
-        let fleet_request_us =
-            self.settings.gateway_count as f64 * node.service_time_us * self.settings.mean_request_units;
+        // The longest queue to spread out: a mean request from each gateway, less what is served within the
+        // objective.
+        let fleet_service_us = self.settings.gateway_count as f64
+            * node.service_time_per_unit_us
+            * self.settings.mean_request_units;
         node.pacing.adjust(&PacingSignal {
-            queueing_delay_us,
+            excess_latency_us,
             tightest_objective_us,
-            max_interval_us: (fleet_request_us - tightest_objective_us).max(0.0),
-            window_is_minimal: node.window.limit <= 1.0 && node.service_time_us > 0.0,
+            max_interval_us: (fleet_service_us - tightest_objective_us).max(0.0),
+            window_is_minimal: node.window.is_minimal() && node.service_time_per_unit_us > 0.0,
             failing: node.health.is_failing(),
         });
     }
@@ -106,33 +114,29 @@
     /// Records what the outcome tells of the node's health and latency.
     fn record_outcome(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let now_us = self.now_us;
-        let connect_us = self.settings.connect_timeout_us.max(self.settings.batch_interval_us);
-        let objective_us = self.tightest_objective_us as u64;
-        let pause_us =
-            connect_us.min(objective_us / PAUSE_OBJECTIVE_DIVISOR).max(self.settings.batch_interval_us);
+        let (rejection, connection, timeout) =
+            (self.rejection_backoff(), self.connection_backoff(), self.timeout_backoff());
         let units = self.requests[&report.request].units;
         let node = &mut self.nodes[attempt.node];
-        // Silence or a broken connection speaks against the node only if it answered nothing since.
-        let answered_since = node.answers != attempt.node_answers;
+        // A timeout or a broken connection counts against the node only if no attempt at it has succeeded
+        // since.
+        let succeeded_since = node.successes != attempt.node_successes;
         match report.outcome {
             AttemptOutcome::Succeeded => self.record_success(report, attempt),
-            // A node that is full gets a rest; a draining one gets nothing more.
             AttemptOutcome::Rejected => {
+                // If the node is draining, its grace is over.
                 node.drain_until_us = 0;
-                let max_backoff_us = MAX_REJECTION_BACKOFF_PAUSES * pause_us;
-                node.record_failure(now_us, pause_us / REJECTION_BACKOFF_DIVISOR, max_backoff_us);
+                node.record_failure(now_us, rejection);
             }
-            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset if !answered_since => {
-                let max_backoff_us = MAX_CONNECTION_BACKOFF_TIMEOUTS * connect_us;
-                node.record_failure(now_us, pause_us / CONNECTION_BACKOFF_DIVISOR, max_backoff_us);
+            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset if !succeeded_since => {
+                node.record_failure(now_us, connection);
             }
-            // An attempt that ends with its objective may have had next to no time. It is silence only once
-            // what went unanswered adds up to more than an attempt takes that may be lost.
-            AttemptOutcome::TimedOut if !answered_since => {
-                let unanswered_us = node.health.record_silence(report.latency_us);
-                if unanswered_us > LOST_AFTER_FACTOR * node.expected_latency(units) {
-                    let max_backoff_us = MAX_SILENCE_BACKOFF_TIMEOUTS * connect_us;
-                    node.record_failure(now_us, connect_us / SILENCE_BACKOFF_DIVISOR, max_backoff_us);
+            // A timeout at the objective may have been very short. The node counts as failing only when its
+            // timeouts since the last success add up to more than a lost attempt takes.
+            AttemptOutcome::TimedOut if !succeeded_since => {
+                let unanswered_us = node.health.record_timeout(report.latency_us);
+                if unanswered_us > LOST_AFTER_FACTOR * node.expected_latency_us(units) {
+                    node.record_failure(now_us, timeout);
                 }
             }
             AttemptOutcome::ConnectFailed
@@ -144,6 +148,42 @@
         }
     }
 
+    fn rejection_backoff(&self) -> Backoff {
+        let pause_us = self.failure_pause_us();
+        Backoff {
+            initial_us: pause_us / REJECTION_BACKOFF_DIVISOR,
+            max_us: MAX_REJECTION_BACKOFF_PAUSES * pause_us,
+        }
+    }
+
+    fn connection_backoff(&self) -> Backoff {
+        Backoff {
+            initial_us: self.failure_pause_us() / CONNECTION_BACKOFF_DIVISOR,
+            max_us: MAX_CONNECTION_BACKOFF_TIMEOUTS * self.connect_time_us(),
+        }
+    }
+
+    fn timeout_backoff(&self) -> Backoff {
+        let connect_us = self.connect_time_us();
+        Backoff {
+            initial_us: connect_us / TIMEOUT_BACKOFF_DIVISOR,
+            max_us: MAX_TIMEOUT_BACKOFF_TIMEOUTS * connect_us,
+        }
+    }
+
+    /// How long connections may take, at least one batch.
+    fn connect_time_us(&self) -> u64 {
+        self.settings.connect_timeout_us.max(self.settings.batch_interval_us)
+    }
+
+    /// The unit of short backoffs: the connect timeout, or a part of the tightest objective if that is
+    /// shorter.
+    fn failure_pause_us(&self) -> u64 {
+        let objective_us = self.tightest_objective_us as u64;
+        let pause_us = self.connect_time_us().min(objective_us / PAUSE_OBJECTIVE_DIVISOR);
+        pause_us.max(self.settings.batch_interval_us)
+    }
+
     /// Records the latency of an attempt that succeeded.
     fn record_success(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let scale = ServiceScale {
@@ -153,7 +193,7 @@
         let request = &self.requests[&report.request];
         let node = &mut self.nodes[attempt.node];
         node.record_success(self.now_us, report.latency_us, request.units, scale);
-        // What was sent behind others waited for them, and says nothing of its class.
+        // A request that was sent behind others waited for them, which says nothing of its class.
         let is_representative = request.reserved || !request.sent_as_background;
         if !request.is_answered() && is_representative {
             let latency_us = self.now_us - request.arrived_at_us;
@@ -178,6 +218,6 @@
         let attempts_are_spent = self.settings.max_attempts.is_some_and(|max| request.attempts >= max);
         let timed_out_late = outcome == AttemptOutcome::TimedOut && self.now_us >= request.objective_at_us;
         let is_spent = attempts_are_spent || timed_out_late;
-        !is_spent && outcome != AttemptOutcome::NotSent && self.may_be_sent(request, None)
+        !is_spent && outcome != AttemptOutcome::NotSent && self.may_be_sent(request)
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -9,13 +9,14 @@
 
 /// The longest gap between two attempts at a paced node.
 const MAX_PACING_GAP_US: f64 = 5_000_000.0;
-/// The gap after an attempt at a paced node varies by this factor either way around its interval.
-const PACING_JITTER: f64 = 0.5;
+/// The gap after an attempt is the pacing interval times a random factor between this and this plus one.
+const MIN_PACING_GAP_FACTOR: f64 = 0.5;
 
 /// The order in which queued requests are considered for a free slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DispatchRank {
-    /// Work of the latency-bound classes.
+    /// Latency-bound work, unless it falls under a later rank; and, where the node is short of capacity,
+    /// reserved background work that is past due and close to its objective.
     LatencyBound,
     /// Background work within its volume's reservation.
     ReservedBackground,
@@ -83,36 +84,44 @@
 
     /// Which of the queued requests is sent next to this node.
     fn select_next(&mut self, node: NodeIndex, queue: &[RequestId]) -> Option<Selection> {
-        // EXCEPTION: the node is short of capacity when latency-bound work is past due. Then earliest-due
-        // order would serve first what has lost its weight; so what lies beyond its volume's reservation
-        // joins the background side, and what can no longer meet its objective goes behind all else.
+        // EXCEPTION: if latency-bound work is past due, the node is short of capacity. Earliest-due-first
+        // would then serve work that has already lost its full weight, so work beyond its volume's
+        // reservation is ranked with the background work, and work that would miss its objective is ranked
+        // last.
         let is_short = queue.iter().any(|id| {
             let request = &self.requests[id];
             !self.is_background(request) && request.due_at_us < self.now_us
         });
-        let mut latency_bound = None;
-        let mut background = None;
-        for candidate in self.ranked_candidates(node, queue, is_short) {
-            let is_latency_bound = candidate.rank == DispatchRank::LatencyBound;
-            if is_latency_bound && latency_bound.is_some() {
-                continue;
-            }
-            if !self.may_be_sent_now(queue[candidate.position], node) {
-                continue;
-            }
-            if is_latency_bound {
-                latency_bound = Some(candidate.position);
-            } else {
-                background = Some(candidate.position);
-                break;
+        let candidates = self.ranked_candidates(node, queue, is_short);
+        let is_latency_bound = |candidate: &Candidate| candidate.rank == DispatchRank::LatencyBound;
+        let (latency_bound, background) = candidates.split_at(candidates.partition_point(is_latency_bound));
+        let latency_bound = self.first_sendable(latency_bound, queue, node);
+        let background = self.first_sendable(background, queue, node);
+        match (latency_bound, background) {
+            (Some(position), None) => Some(Selection { position, as_background: false }),
+            (None, Some(position)) => Some(Selection { position, as_background: true }),
+            (None, None) => None,
+            (Some(latency_bound), Some(background)) => {
+                // EXCEPTION: while the node is short, latency-bound work always goes first. Alpha is low
+                // after a quiet period and would give most slots to background work until it recovers.
+                if is_short || self.slot_split.draw_latency_bound(&mut self.rng) {
+                    Some(Selection { position: latency_bound, as_background: false })
+                } else {
+                    Some(Selection { position: background, as_background: true })
+                }
             }
         }
-        // EXCEPTION: alpha is not drawn while the node is short. It is low after a quiet time, and would hand
-        // most slots to the background side until it has grown again.
-        let prefers_latency_bound = latency_bound.is_some()
-            && (is_short || background.is_none() || self.slot_split.draw_latency_bound(&mut self.rng));
-        let position = if prefers_latency_bound { latency_bound? } else { background? };
-        Some(Selection { position, as_background: !prefers_latency_bound })
+    }
+
+    /// The position in the queue of the first candidate that may be sent now.
+    fn first_sendable(
+        &mut self,
+        candidates: &[Candidate],
+        queue: &[RequestId],
+        node: NodeIndex,
+    ) -> Option<usize> {
+        let mut positions = candidates.iter().map(|candidate| candidate.position);
+        positions.find(|position| self.may_be_sent_now(queue[*position], node))
     }
 
     fn ranked_candidates(&self, node: NodeIndex, queue: &[RequestId], is_short: bool) -> Vec<Candidate> {
@@ -153,7 +162,7 @@
         request.class == self.background_class
     }
 
-    /// Whether a request is past due and would have to be sent within the tightest objective.
+    /// Whether a request is past due and its objective ends within one tightest objective from now.
     fn is_pressing(&self, request: &Request) -> bool {
         let pressing_until_us = self.now_us + self.tightest_objective_us as u64;
         request.due_at_us < self.now_us && request.objective_at_us < pressing_until_us
@@ -161,7 +170,7 @@
 
     /// Whether a request would miss its objective if it were sent to this node now.
     fn would_be_late(&self, request: &Request, node: &NodeState) -> bool {
-        self.now_us + node.expected_latency(request.units) as u64 > request.objective_at_us
+        self.now_us + node.expected_latency_us(request.units) as u64 > request.objective_at_us
     }
 
     /// The priority of this request if it is sent to this node now, relative to the highest possible.
@@ -173,19 +182,21 @@
         class.priority_weight * plan.priority_factor / self.max_priority * surplus_factor * late_factor
     }
 
-    /// How long a node is still to be left alone before this request may be sent to it, in microseconds.
+    /// How long until this request may be sent to a node, in microseconds. The gap at a paced node is divided
+    /// by the priority, so that less important requests wait longer.
     pub(super) fn node_wait_us(&self, node: &NodeState, request: &Request) -> u64 {
         let pacing_gap_us = if node.pacing.is_active() {
             (node.pacing.gap_us() / self.priority(request, node)).min(MAX_PACING_GAP_US) as u64
         } else {
             0
         };
-        let ready_at_us = (node.pacing.last_sent_at_us() + pacing_gap_us).max(node.health.retry_at_us());
+        let ready_at_us = (node.pacing.last_sent_at_us() + pacing_gap_us).max(node.health.backoff_until_us());
         let slow_start_wait_us = self.slow_start.wait_us(node, request.units, self.now_us);
         ready_at_us.saturating_sub(self.now_us).max(slow_start_wait_us)
     }
 
-    /// The same for the node in service that is to take the request, if there is one.
+    /// The shortest such wait among the nodes of the request's shard that accept work; none if there are
+    /// none.
     pub(super) fn shortest_node_wait_us(&self, request: &Request) -> Option<u64> {
         let shard = request.shard();
         let serving =
@@ -196,7 +207,7 @@
     /// Whether the rules allow a request to be sent to this node now.
     fn may_be_sent_now(&mut self, id: RequestId, node: NodeIndex) -> bool {
         let request = &self.requests[&id];
-        if self.node_wait_us(&self.nodes[node], request) > 0 || !self.may_be_sent(request, Some(node)) {
+        if self.node_wait_us(&self.nodes[node], request) > 0 || !self.may_be_sent_to(request, node) {
             return false;
         }
         // What failed at a node is retried at another of its shard, where one has capacity.
@@ -246,13 +257,13 @@
             let weight = self.settings.plans[request.plan].weight;
             node.fair_queue.serve(request.volume, request.units, weight);
         }
-        node.pacing.record_send(self.now_us, PACING_JITTER + self.rng.f64());
+        node.pacing.record_send(self.now_us, MIN_PACING_GAP_FACTOR + self.rng.f64());
         request.attempts += 1;
         request.last_node = Some(node_index);
         request.state = RequestState::InFlight(AttemptInFlight {
             node: node_index,
             sent_at_us: self.now_us,
-            node_answers: node.answers,
+            node_successes: node.successes,
             presumed_lost: false,
         });
         node.in_flight += 1;
@@ -261,17 +272,18 @@
         actions.push(Action::SendAttempt { request: id, node, timeout_us });
     }
 
-    /// EXCEPTION: at an overloaded node an attempt ends with its objective, where nodes may drop what is
-    /// cancelled. One that must not run twice waits on, as its client may not come again; so does one that
-    /// has less time left than it takes: cut off it would be work in vain.
+    /// EXCEPTION: at an overloaded node an attempt times out at its objective, if nodes honour cancellation.
+    /// Non-idempotent requests are excluded, because their clients may be unable to retry; so are requests
+    /// with less time left than an attempt takes, which would only waste work. Guards against work that
+    /// nobody waits for any more; loses late answers.
     fn attempt_timeout_us(&self, id: RequestId, node: NodeIndex) -> Option<u64> {
         let (request, node) = (&self.requests[&id], &self.nodes[node]);
         let idempotency = self.settings.classes[request.class].idempotency;
         let may_be_cut = self.settings.cancellation
             && idempotency != Idempotency::NonIdempotent
-            && node.window.limit <= 1.0;
+            && node.window.is_minimal();
         let left_us = request.objective_at_us.saturating_sub(self.now_us);
-        let is_enough = left_us > 0 && left_us as f64 >= node.expected_latency(request.units);
+        let is_enough = left_us > 0 && left_us as f64 >= node.expected_latency_us(request.units);
         (may_be_cut && is_enough).then_some(left_us)
     }
 }
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -122,7 +122,7 @@
     pub latency_us: u64,
     /// Whether the request has its final answer with this.
     pub complete: bool,
-    /// The node.
+    /// The node. The scheduler uses the one that it sent the attempt to.
     pub node: NodeId,
     /// The rate at which the volume was served everywhere in a past period, in percent of the plan's
     /// provisioned rate, where reported.
@@ -141,9 +141,9 @@
     pub in_flight: Option<f64>,
     /// Requests in its queue.
     pub queued: Option<f64>,
-    /// The fraction of its cores that is busy.
+    /// The fraction of its cores that is busy. Not used by the scheduler.
     pub utilization: Option<f64>,
-    /// Its recent service time in milliseconds.
+    /// Its recent service time in milliseconds. Not used by the scheduler.
     pub service_ms: Option<f64>,
 }
 
--- a/src/scheduler/latency_model.rs
+++ b/src/scheduler/latency_model.rs
@@ -9,25 +9,29 @@
 use std::collections::VecDeque;
 
 /// The ratios of the measured to the targeted disengagement between which a budget is right: zeta and theta
-/// of the paper, with the values of the design.
+/// of the paper, with the values in `docs/design.md`, "Constants".
 pub(super) const MIN_TARGET_RATIO: f64 = 0.95;
 pub(super) const MAX_TARGET_RATIO: f64 = 0.98;
-/// The targeted mean of the disengagement curve; from the design.
+/// The targeted mean of the disengagement curve; `docs/design.md`, "Constants".
 const TARGET_DISENGAGEMENT: f64 = 0.02;
-/// The window of completions that a class is fitted to: at most so many, and at most so old; from the design.
+/// The window of completions that a class is fitted to: at most so many, and at most so old;
+/// `docs/design.md`, "Constants".
 const MAX_COMPLETIONS: usize = 256;
 const MAX_COMPLETION_AGE_US: u64 = 5_000_000;
 /// So many completions are kept whatever their age, as one of many gateways completes few a second.
 const MIN_KEPT_COMPLETIONS: usize = 50;
-/// With fewer completions than this the exponential distribution stands in for a fitted one.
+/// With fewer completions, an exponential distribution is assumed.
 const MIN_FITTED_COMPLETIONS: usize = 16;
-/// Steps of the bisection for the shape, enough for the precision of the logarithm's range.
+/// Steps of the bisection for the shape: enough to narrow the range of its logarithm to the precision of
+/// `f64`.
 const SHAPE_BISECTIONS: usize = 60;
 /// The range of the shape's logarithm: from nearly constant to extremely dispersed latencies.
 const MIN_LN_SHAPE: f64 = -12.0;
 const MAX_LN_SHAPE: f64 = 120.0;
 /// The bisection for the mean ends when its interval is so small a part of half the deadline.
 const MEAN_PRECISION: f64 = 1.0 / 4096.0;
+/// The disengagement curve between the objective and the deadline; `docs/design.md`, "Constants".
+const LATE_DISENGAGEMENT: f64 = 0.5;
 
 /// The digamma and the trigamma function of an argument above zero.
 #[derive(Clone, Copy, Debug)]
@@ -93,7 +97,7 @@
 ) -> f64 {
     let scale = (mean / distribution.unit_mean).max(f64::MIN_POSITIVE);
     let below = |x: f64| (distribution.shape * (-(-x / scale).exp()).ln_1p()).exp();
-    0.5 * (below(deadline) - below(objective)).max(0.0) + 1.0 - below(deadline)
+    LATE_DISENGAGEMENT * (below(deadline) - below(objective)).max(0.0) + 1.0 - below(deadline)
 }
 
 /// The highest mean latency that keeps the mean disengagement at its target, by bisection up to half the
@@ -181,5 +185,11 @@
 
 /// The disengagement curve of the design: zero within the objective, half up to the deadline, one beyond it.
 fn disengagement(latency: f64, objective: f64, deadline: f64) -> f64 {
-    if latency <= objective { 0.0 } else { 0.5 + 0.5 * f64::from(latency > deadline) }
+    if latency <= objective {
+        0.0
+    } else if latency <= deadline {
+        LATE_DISENGAGEMENT
+    } else {
+        1.0
+    }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! The ordinary path (user disengagement-oriented target enforcement, after the paper): each class keeps
 //! recent latencies; a distribution fitted to them gives the mean latency that the class may have, hence how
-//! long a request may be queued ([`latency_model`]). Queued requests of latency-bound classes are sent
+//! long a request may be queued (`latency_model`). Queued requests of latency-bound classes are sent
 //! earliest due first, and share a node's slots with background work by a probability, alpha ([`slot_split`],
 //! [`dispatch`]). What departs from that path is marked EXCEPTION; what the platform's rules need is marked
 //! RULE.
@@ -16,6 +16,7 @@
 //! | `admission` | whether a request that arrives is queued or rejected |
 //! | `dispatch` | which queued request is sent next, to which node, with which timeout |
 //! | `completion` | what the end of an attempt tells, and what becomes of its request |
+//! | `request` | a request and where it stands |
 //! | `retry` | idempotency, the retry budget, the order of requests for one block |
 //! | `expiry` | what is given up, and its final answer |
 //! | `endpoints` | the endpoint list and when it is watched |
@@ -79,8 +80,8 @@
     now_us: u64,
     /// The latency model of each class.
     latency_models: Vec<LatencyModel>,
-    /// For each class the longest that a client still waited on arrival: tells a first request from a
-    /// repeated one.
+    /// Per class, the longest remaining time that a request has arrived with. One that arrives with less is
+    /// assumed to have spent the difference at another gateway.
     longest_timeouts_us: Vec<u64>,
     /// The class that yields to the others.
     background_class: usize,
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Ends a request whose client has left. Work that nobody waits for is cancelled: where nodes stop it, it
-    /// costs no more.
+    /// Ends a request whose client has disconnected. Its attempt is cancelled if nodes honour that, to save
+    /// the work.
     fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|request| request.attempt_in_flight().is_some());
         if let Some(request) = request.filter(|_| self.settings.cancellation) {
@@ -171,7 +172,7 @@
         self.finish(id);
     }
 
-    /// Keeps a timer set while anything is to be looked at again.
+    /// Keeps a timer set while requests are known or a poll is scheduled.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let is_needed = !self.requests.is_empty() || self.endpoint_polling.is_scheduled();
         if is_needed && !self.timer_is_set {
@@ -181,12 +182,13 @@
     }
 }
 
-/// The background class: one without an objective, failing that the one of the lowest weight, then the one
-/// with the longest objective.
+/// The background class. Prefers a class with no objective before its deadline; among equals, the lowest
+/// weight, then the longest objective, then one without any.
 fn background_class(settings: &SchedulerSettings) -> usize {
     let order = |class: &RequestClass| {
         let objective_us = class.latency_objective_us;
         let is_latency_bound = objective_us.is_some_and(|objective_us| objective_us < class.deadline_us);
+        // `to_bits` orders floating-point numbers that are not negative.
         (is_latency_bound, class.priority_weight.max(0.0).to_bits(), Reverse(objective_us))
     };
     let classes = 0..settings.classes.len();
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -7,8 +7,8 @@
 pub(super) struct AttemptInFlight {
     pub(super) node: NodeIndex,
     pub(super) sent_at_us: u64,
-    /// How many answers the node had given when the attempt was sent.
-    pub(super) node_answers: u64,
+    /// How many attempts at the node had succeeded when this one was sent.
+    pub(super) node_successes: u64,
     /// Whether the attempt no longer fills the node's window.
     pub(super) presumed_lost: bool,
 }
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -35,9 +35,10 @@
         }
     }
 
-    /// Whether one more retry is within the budget: exact over the window, that retry included.
+    /// Whether one more retry stays within the budget.
     pub(super) fn admits_retry(&mut self, now_us: u64) -> bool {
         let Some(budget) = self.budget else { return true };
+        // At the edge of the window a request no longer counts, but a retry still does.
         self.requests_at_us.retain(|at| at + budget.window_us > now_us);
         self.retries_at_us.retain(|at| at + budget.window_us >= now_us);
         let allowed = budget.burst + budget.ratio * self.requests_at_us.len() as f64;
@@ -48,11 +49,12 @@
 #[derive(Default)]
 struct BlockQueue {
     waiting: VecDeque<RequestId>,
-    /// From when the first of them may be sent.
-    ready_at_us: u64,
+    /// The first attempt of the first of them is not sent before this.
+    not_before_us: u64,
 }
 
-/// RULE ordering: the requests for each block that run one at a time, in order of arrival.
+/// RULE ordering: the requests for each block that run one at a time, in order of arrival. Entries are never
+/// removed.
 #[derive(Default)]
 pub(super) struct OrderingQueues(FxHashMap<BlockId, BlockQueue>);
 
@@ -67,37 +69,50 @@
         }
     }
 
-    /// Lets a block rest until then, as an attempt that has ended may still run.
+    /// Holds back first attempts for a block until then: an attempt that has ended may still be running on
+    /// its node. Retries are not held back: they repeat what may be running.
     fn delay(&mut self, block: BlockId, until_us: u64) {
         if let Some(queue) = self.0.get_mut(&block) {
-            queue.ready_at_us = queue.ready_at_us.max(until_us);
+            queue.not_before_us = queue.not_before_us.max(until_us);
         }
     }
 
     /// Whether it is a request's turn.
     fn admits(&self, block: BlockId, id: RequestId, is_first_attempt: bool, now_us: u64) -> bool {
         let Some(queue) = self.0.get(&block) else { return true };
-        let is_resting = is_first_attempt && now_us < queue.ready_at_us;
-        queue.waiting.front() == Some(&id) && !is_resting
+        let is_delayed = is_first_attempt && now_us < queue.not_before_us;
+        queue.waiting.front() == Some(&id) && !is_delayed
     }
 }
 
 impl Scheduler {
-    /// RULE idempotency: whether a request may be sent (again), to this node where one is named. What is sent
-    /// now may be written as late as connections are waited for.
-    pub(super) fn may_be_sent(&self, request: &Request, to: Option<NodeIndex>) -> bool {
+    /// RULE idempotency: whether a request may be sent (again) to some node.
+    pub(super) fn may_be_sent(&self, request: &Request) -> bool {
         let Some(earlier) = request.possible_execution else { return true };
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
-            Idempotency::WithKey { scope, window_us } => {
-                let recognized = to.is_none_or(|node| self.recognizes_key(scope, node, earlier));
-                let written_by_us = self.now_us + self.settings.connect_timeout_us;
-                recognized && written_by_us < earlier.sent_at_us + window_us
+            Idempotency::WithKey { window_us, .. } => {
+                // The attempt may be written as late as a connect timeout from now; the key must be
+                // recognized then.
+                let latest_write_at_us = self.now_us + self.settings.connect_timeout_us;
+                latest_write_at_us < earlier.sent_at_us + window_us
             }
         }
     }
 
+    /// RULE idempotency: whether a request may be sent (again) to this node.
+    pub(super) fn may_be_sent_to(&self, request: &Request, node: NodeIndex) -> bool {
+        let is_recognized =
+            || match (request.possible_execution, self.settings.classes[request.class].idempotency) {
+                (Some(earlier), Idempotency::WithKey { scope, .. }) => {
+                    self.recognizes_key(scope, node, earlier)
+                }
+                _ => true,
+            };
+        self.may_be_sent(request) && is_recognized()
+    }
+
     /// Whether a node recognizes the idempotency key of an earlier attempt.
     fn recognizes_key(&self, scope: DeduplicationScope, node: NodeIndex, earlier: PossibleExecution) -> bool {
         let (node, earlier_node) = (&self.nodes[node], &self.nodes[earlier.node]);
@@ -130,8 +145,8 @@
             .is_none_or(|block| self.ordering.admits(block, id, is_first_attempt, self.now_us))
     }
 
-    /// Lets the request's block rest for the gap that the settings give.
-    pub(super) fn rest_block(&mut self, id: RequestId) {
+    /// Holds back first attempts for the request's block for the gap that the settings give.
+    pub(super) fn delay_block(&mut self, id: RequestId) {
         let block = self.ordering_block(&self.requests[&id]);
         if let Some(block) = block {
             self.ordering.delay(block, self.now_us + self.settings.ordering_gap_us);
--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -11,7 +11,7 @@
 const ALPHA_DECREASE: f64 = 0.05;
 /// Alpha grows by this factor while a class misses its target: one plus beta of the paper.
 const ALPHA_INCREASE: f64 = 1.0 + 0.25;
-/// The least that alpha falls to; from the design.
+/// The least that alpha falls to; `docs/design.md`, "Constants".
 const MIN_ALPHA: f64 = 0.1;
 /// The smallest coefficient of variation that the decrease is divided by.
 const MIN_VARIATION: f64 = 1e-3;
@@ -32,7 +32,7 @@
         rng.f64() < self.alpha
     }
 
-    /// Moves alpha by how the latency-bound classes do.
+    /// Raises alpha if a class misses its target; lowers it if all classes keep theirs and one has slack.
     fn update<'a>(&mut self, latency_bound: impl Iterator<Item = &'a LatencyModel>) {
         let (mut worst_ratio, mut best_ratio) = (0.0, f64::INFINITY);
         let (mut variation, mut fitted) = (0.0, 0);
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -24,7 +24,7 @@
 const MIN_OBSERVED_FRACTION: f64 = 0.25;
 /// How much slower the best rate decays than the rate itself, as an exponent.
 const BEST_RATE_DECAY_EXPONENT: f64 = 0.125;
-/// The smallest initial capacity, rate and wait that are divided by.
+/// The smallest initial capacity and the smallest rate that are divided by.
 const MIN_CAPACITY: f64 = 1e-3;
 const MIN_RATE: f64 = 1e-6;
 /// What a request may exceed the bucket by to allow for rounding, in units.
@@ -34,6 +34,7 @@
 #[derive(Default)]
 pub(super) struct SlowStartBucket {
     tokens: f64,
+    /// When the tokens were last counted; a time in the future means that nothing may be sent before it.
     as_of_us: u64,
 }
 
@@ -46,8 +47,8 @@
 /// The state of a token bucket now.
 struct BucketLevel {
     tokens: f64,
-    /// What it is meant to hold, in units.
-    even_share: f64,
+    /// This gateway's share at the node's present capacity, in units.
+    share: f64,
     /// Units per second that flow into it.
     rate: f64,
 }
@@ -103,9 +104,9 @@
         }
     }
 
-    /// The window over which a warming-up node's load is summed, in microseconds; 0 without a policy.
-    pub(super) fn window_us(&self) -> u64 {
-        self.policy.map_or(0, |policy| policy.window_us)
+    /// The window over which a warming-up node's load is summed, in microseconds; none without a policy.
+    pub(super) fn window_us(&self) -> Option<u64> {
+        self.policy.map(|policy| policy.window_us)
     }
 
     /// The fraction of its capacity that a node has at least, by the time since its start.
@@ -123,13 +124,13 @@
 
     fn level(&self, policy: &SlowStartPolicy, node: &NodeState, now_us: u64) -> BucketLevel {
         let capacity = self.capacity(node, now_us);
-        let even_share = self.even_share() * capacity / policy.initial_capacity.max(MIN_CAPACITY);
+        let share = self.initial_share() * capacity / policy.initial_capacity.max(MIN_CAPACITY);
         let served = self.shard_rate(node.shard) * capacity;
-        let even_rate = even_share / policy.window_us.max(1) as f64 * 1e6;
-        let rate = (OVERLOAD_FRACTION * policy.overload_factor * served).max(even_rate);
+        let share_rate = share / policy.window_us.max(1) as f64 * 1e6;
+        let rate = (OVERLOAD_FRACTION * policy.overload_factor * served).max(share_rate);
         let filled = rate * now_us.saturating_sub(node.slow_start.as_of_us) as f64 / 1e6;
-        let tokens = (node.slow_start.tokens + filled).min(even_share.max(self.mean_request_units));
-        BucketLevel { tokens, even_share, rate }
+        let tokens = (node.slow_start.tokens + filled).min(share.max(self.mean_request_units));
+        BucketLevel { tokens, share, rate }
     }
 
     /// How long until a warming-up node may be sent this many units, in microseconds.
@@ -139,20 +140,22 @@
             return 0;
         }
         let level = self.level(&policy, node, now_us);
-        let missing = (units.min(level.even_share) - ROUNDING_UNITS - level.tokens).max(0.0);
+        let missing = (units.min(level.share) - ROUNDING_UNITS - level.tokens).max(0.0);
         let wait_us = (missing / level.rate.max(MIN_RATE) * 1e6) as u64;
         let wait_us = node.slow_start.as_of_us.saturating_sub(now_us) + wait_us;
         wait_us.min(started_at_us + policy.warm_up_us - now_us)
     }
 
-    /// What is left in a node's bucket after it is sent this many units.
+    /// What is left in a node's bucket after it is sent this many units. Kept for every node, used while one
+    /// warms up.
     pub(super) fn bucket_after(&self, node: &NodeState, units: f64, now_us: u64) -> SlowStartBucket {
         let tokens = self.policy.map_or(0.0, |policy| self.level(&policy, node, now_us).tokens);
         SlowStartBucket { tokens: tokens - units, as_of_us: now_us.max(node.slow_start.as_of_us) }
     }
 
-    /// Half of this gateway's even part of what a node bears for sure when it starts, in units.
-    pub(super) fn even_share(&self) -> f64 {
+    /// This gateway's share when a node starts: half of its even part of what the node is guaranteed to bear,
+    /// in units.
+    pub(super) fn initial_share(&self) -> f64 {
         let guaranteed = self.policy.map_or(0.0, |policy| policy.guaranteed_units);
         GUARANTEED_FRACTION * guaranteed / self.gateway_count.max(1) as f64
     }
@@ -169,6 +172,11 @@
         self.served.entry(shard).or_insert(unseen).record(units, at_us, averaging_time_s);
     }
 
+    /// Ages the estimate of what a shard served up to the start of its new node.
+    pub(super) fn decay_served_rate(&mut self, shard: ShardId, until_us: u64) {
+        self.record_served(shard, 0.0, until_us);
+    }
+
     /// Records what was requested of a shard through this gateway within the reservations.
     pub(super) fn record_requested(&mut self, shard: ShardId, units: f64, at_us: u64) {
         let averaging_time_s = self.warm_up_time_s();
@@ -186,7 +194,7 @@
     fn shard_rate(&self, shard: ShardId) -> f64 {
         let served = self.served.get(&shard).copied().unwrap_or_default();
         let has_seen_little = served.observed_s < self.warm_up_time_s() * MIN_OBSERVED_FRACTION;
-        let is_one_of_many = self.even_share() < self.mean_request_units;
+        let is_one_of_many = self.initial_share() < self.mean_request_units;
         let requested = self.requested.get(&shard).filter(|_| has_seen_little && is_one_of_many);
         served.best_rate.max(requested.map_or(0.0, |requested| requested.best_rate))
     }
--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -12,8 +12,8 @@
 const EVEN_RATE_FRACTION: f64 = 0.25;
 /// The smallest provisioned rate that shares are computed with.
 const MIN_RATE: f64 = 1e-3;
-/// What a rate limit may be overdrawn by to allow for rounding, in units.
-const ROUNDING_UNITS: f64 = 1e-6;
+/// Kept free above the lower bound, so that rounding never overdraws the bucket, in units.
+const ROUNDING_MARGIN_UNITS: f64 = 1e-6;
 
 /// A volume as this gateway sees it.
 #[derive(Default)]
@@ -34,15 +34,15 @@
 }
 
 impl Volume {
-    /// RULE rate limit: each gateway spends its even part of the bucket. A gateway that may have been here
-    /// before it started takes that part as spent, down to the overdraft, at its start.
+    /// RULE rate limit: each gateway spends an even share of the bucket. A restarted gateway cannot know what
+    /// its predecessor spent, so its share starts at its lowest level, the overdraft.
     pub(super) fn new(plan: &ServicePlan, gateways: f64, max_request_units: f64, started_at_us: u64) -> Self {
         let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
         Volume {
             gateways,
             updated_at_us: started_at_us,
             limit_tokens: -overdraft / gateways,
-            reservation_tokens: plan.reserved_rate + max_request_units,
+            reservation_tokens: reservation_burst(plan, max_request_units),
             ..Volume::default()
         }
     }
@@ -58,7 +58,7 @@
         });
         let share = self.share(plan);
         let filled = self.reservation_tokens + plan.reserved_rate * share * elapsed_us / 1e6;
-        self.reservation_tokens = filled.min((plan.reserved_rate + max_request_units) * share);
+        self.reservation_tokens = filled.min(reservation_burst(plan, max_request_units) * share);
         let decay = (-elapsed_us / RATE_AVERAGING_TIME_US).exp();
         self.own_rate *= decay;
         self.other_rate *= decay;
@@ -75,12 +75,12 @@
     }
 
     /// Records that units were requested through this gateway.
-    pub(super) fn record_own(&mut self, units: f64) {
+    pub(super) fn record_requested_here(&mut self, units: f64) {
         self.own_rate += units / RATE_AVERAGING_TIME_S;
     }
 
     /// Records that a node served units through other gateways.
-    pub(super) fn record_others(&mut self, units: f64) {
+    pub(super) fn record_served_elsewhere(&mut self, units: f64) {
         self.other_rate += units / RATE_AVERAGING_TIME_S;
     }
 
@@ -103,16 +103,16 @@
     /// Whether the limit admits this many units now.
     pub(super) fn rate_limit_admits(&self, plan: &ServicePlan, units: f64) -> bool {
         let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
-        self.limit_tokens - units >= -overdraft / self.gateways + ROUNDING_UNITS
+        self.limit_tokens - units >= -overdraft / self.gateways + ROUNDING_MARGIN_UNITS
     }
 
     /// Records that units are queued.
-    pub(super) fn queue(&mut self, units: f64) {
+    pub(super) fn add_uncharged(&mut self, units: f64) {
         self.uncharged_units += units;
     }
 
     /// Records that units left the queue without being charged to the limit.
-    pub(super) fn unqueue(&mut self, units: f64) {
+    pub(super) fn remove_uncharged(&mut self, units: f64) {
         self.uncharged_units -= units;
     }
 
@@ -131,3 +131,8 @@
         reserved
     }
 }
+
+/// What the bucket of a reservation holds: one second of its rate, and the largest request.
+fn reservation_burst(plan: &ServicePlan, max_request_units: f64) -> f64 {
+    plan.reserved_rate + max_request_units
+}
