--- a/tests/scheduling_exceptions.rs
+++ b/tests/scheduling_exceptions.rs
@@ -1,4 +1,4 @@
-//! The exceptions to the ordinary scheduling path: each test fails without the exception that it names.
+//! The ordinary scheduling path, and the exceptions to it that are marked EXCEPTION in `src/scheduler/`.
 
 mod common;
 use common::*;
@@ -169,11 +169,11 @@
     assert!(to_slow_node <= 2, "{to_slow_node} of 20 went to the slow node");
 }
 
-/// Settings in which whatever can be zero is zero.
-fn zero_settings() -> SchedulerSettings {
+/// Settings in which whatever can be zero is zero, for a class with this objective.
+fn zero_settings(latency_objective_us: Option<u64>) -> SchedulerSettings {
     let limit = RateLimit { rate: 1e-9, ..settings().plans[0].rate_limit.unwrap() };
     SchedulerSettings {
-        classes: vec![class(0, 0, 0.0, Idempotency::Idempotent)],
+        classes: vec![RequestClass { latency_objective_us, ..class(0, 0, 0.0, Idempotency::Idempotent) }],
         plans: vec![ServicePlan {
             provisioned_rate: 0.0,
             rate_limit: Some(limit),
@@ -198,7 +198,7 @@
 #[test]
 fn degenerate_settings_and_requests_are_answered() {
     let empty_settings = SchedulerSettings { classes: vec![], plans: vec![], ..settings() };
-    for settings in [zero_settings(), empty_settings] {
+    for settings in [zero_settings(Some(0)), zero_settings(None), empty_settings] {
         let mut scheduler = Scheduler::new(settings, 1, 10);
         let zero = IncomingRequest {
             class: 0,
@@ -227,8 +227,8 @@
     }
 }
 
-/// How many of so many free slots, with a request with an objective and a background request queued, went to
-/// the background request.
+/// Queues one background request and one with an objective for each of `slots` free slots, and counts the
+/// slots that the background request got.
 fn slots_given_to_background(fleet: &mut SimulatedFleet, slots: u32) -> usize {
     let mut count = 0;
     for id in (1_000..1_000 + 2 * slots).step_by(2) {
