--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,13 +2,15 @@
 //! checks every decision against the rules of the platform.
 
 // Every test binary uses a part of this module only.
-#![allow(dead_code, unused_imports)]
+#![allow(dead_code)]
 
 mod builders;
 mod fleet;
 mod rules;
 
 pub use builders::*;
+// Not every test binary simulates a fleet.
+#[allow(unused_imports)]
 pub use fleet::*;
 
 /// A second in microseconds.
