--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -9,6 +9,9 @@
 /// When the simulation begins.
 pub const SIMULATION_START_US: u64 = 1_000 * SECOND;
 
+/// The seed of the first gateway's scheduler; those of the others follow on it.
+pub const SEED_OFFSET: u64 = 7;
+
 /// Which kind of update a list of endpoints makes.
 pub type UpdateKind = fn(Vec<Endpoint>) -> EndpointUpdate;
 
@@ -18,7 +21,7 @@
     pub node: NodeId,
     pub sent_at_us: u64,
     pub shard: ShardId,
-    /// Not known to be proven never to have run.
+    /// False once the outcome proves that the attempt never ran.
     pub may_have_run: bool,
     pub in_flight: bool,
 }
@@ -106,7 +109,6 @@
 
 impl SimulatedFleet {
     pub fn new(settings: SchedulerSettings) -> Self {
-        const SEED_OFFSET: u64 = 7;
         let gateways = schedulers(&settings, SEED_OFFSET, SIMULATION_START_US);
         SimulatedFleet {
             now_us: SIMULATION_START_US,
@@ -128,12 +130,18 @@
         }
     }
 
+    /// A fleet whose gateways are about to be notified of this many ready nodes, from their cached lists.
+    pub fn with_ready_nodes(settings: SchedulerSettings, node_count: u32) -> Self {
+        let mut fleet = SimulatedFleet::new(settings);
+        fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &ready_endpoints(node_count));
+        fleet
+    }
+
     /// A fleet without slow start and retry budget whose gateways know this many nodes.
     pub fn unrestricted(gateway_count: usize, node_count: u32) -> Self {
         let settings =
             SchedulerSettings { gateway_count, slow_start: None, retry_budget: None, ..super::settings() };
-        let mut fleet = SimulatedFleet::new(settings);
-        fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &ready_endpoints(node_count));
+        let mut fleet = SimulatedFleet::with_ready_nodes(settings, node_count);
         fleet.advance();
         fleet
     }
--- a/tests/endpoint_polling.rs
+++ b/tests/endpoint_polling.rs
@@ -84,8 +84,8 @@
 /// When one gateway of a fleet of this size polls, if every poll fails.
 fn failed_polls_at_us(gateway_count: usize, gateway_index: usize, polls: usize) -> Vec<u64> {
     let settings = SchedulerSettings { gateway_count, endpoints_on_request: true, ..settings() };
-    let mut now_us = 1_000 * SECOND;
-    let mut scheduler = scheduler(&settings, gateway_index, 7, now_us);
+    let mut now_us = SIMULATION_START_US;
+    let mut scheduler = scheduler(&settings, gateway_index, SEED_OFFSET, now_us);
     let mut polls_at_us = Vec::new();
     while polls_at_us.len() < polls {
         let actions = deliver(&mut scheduler, now_us, &[Event::TimerFired(0)]);
--- a/tests/exchange_player/script.rs
+++ b/tests/exchange_player/script.rs
@@ -1,4 +1,39 @@
 //! The parser of scripts.
+//!
+//! A script is a comment followed by steps. A step is a head, `== ` and the words of the table, and the lines
+//! below it, its content. In contents `{n1}`, `{n2}` and `{discovery}` stand for the addresses of the nodes
+//! and of discovery, `{upload}` for the identifier of the last upload, and `{len}` in the head of a message
+//! for the length of its body. `node N` means a storage node or discovery.
+//!
+//! | head | what happens |
+//! | --- | --- |
+//! | `client C sends` | the client sends the content as a message; it connects first if it has not yet |
+//! | `client C adds` | it sends the content as it stands, without the end of a head |
+//! | `client C adds chunk` | it sends the content as a chunk of a body; an empty chunk ends the body |
+//! | `client C gets` | it reads a message |
+//! | `client C gets head` | it reads the head of a message |
+//! | `client C gets all` | it reads until the gateway closes the connection |
+//! | `client C leaves` | it disconnects |
+//! | `clients COUNT are silent` | clients `silent-0`, `silent-1` and so on connect and send nothing |
+//! | `node N gets` | the node reads a message |
+//! | `node N sends` | it sends the content as a message |
+//! | `node N adds` | it sends the content as it stands |
+//! | `node N closes` | it closes its connection |
+//! | `node N dies` | it closes all connections and listens no longer |
+//! | `node N is left` | the gateway closes its connection, with nothing more sent on it |
+//! | `node N has nothing` | the gateway has sent it nothing that is still unread |
+//! | `node N is full` | its backlog is filled: new connections are not established |
+//! | `node N comes up` | its backlog is freed: new connections are established again |
+//! | `node N is tried` | the gateway is connecting to it |
+//! | `node N is tried or C answered` | the gateway is connecting to it, or has answered client C |
+//! | `node N is reached` | the gateway is connected to it |
+//! | `node is told at most MS` | the last `Req-Deadline` sent to a node leaves it at most MS milliseconds |
+//! | `file NAME` | the content is written to a file of the configuration |
+//! | `file NAME names TO for FROM` | in the file, the address TO replaces the first FROM |
+//! | `wait MS` | nothing for MS milliseconds |
+//! | `log` | a line of the gateway's log is read |
+//! | `signal NAME` | the gateway is sent the signal |
+//! | `program exits` | the gateway exits; its exit status and the rest of its log are read |
 
 use std::time::Duration;
 
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -8,7 +8,7 @@
 /// The final answer of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Answer {
-    Rejected { retry_after_us: u64 },
+    Rejected { retry_after_us: Option<u64> },
     Failed,
 }
 
@@ -17,11 +17,10 @@
         matches!(self, Answer::Rejected { .. })
     }
 
-    /// 0 if the answer has none.
-    fn retry_after_us(self) -> u64 {
+    fn retry_after_us(self) -> Option<u64> {
         match self {
             Answer::Rejected { retry_after_us } => retry_after_us,
-            Answer::Failed => 0,
+            Answer::Failed => None,
         }
     }
 }
@@ -30,7 +29,7 @@
 fn answer(actions: &[Action], id: u32) -> Option<Answer> {
     actions.iter().find_map(|action| match action {
         Action::Reject { request, retry_after_us } if request.0 == id => {
-            Some(Answer::Rejected { retry_after_us: retry_after_us.unwrap_or(0) })
+            Some(Answer::Rejected { retry_after_us: *retry_after_us })
         }
         Action::Fail { request } if request.0 == id => Some(Answer::Failed),
         _ => None,
@@ -38,7 +37,7 @@
 }
 
 fn is_rejected_with_retry_after(actions: &[Action], id: u32) -> bool {
-    answer(actions, id).is_some_and(|answer| answer.is_rejection() && answer.retry_after_us() > 0)
+    matches!(answer(actions, id), Some(Answer::Rejected { retry_after_us: Some(1..) }))
 }
 
 /// A scheduler that knows one ready node, n0.
@@ -80,8 +79,8 @@
     let rejection = answer(&short, 50).expect("answered at once");
     let retry_after_us = rejection.retry_after_us();
     assert!(
-        rejection.is_rejection() && retry_after_us > SECOND / 4,
-        "to come when the backoff is over: {retry_after_us}"
+        retry_after_us.is_some_and(|after_us| after_us > SECOND / 4),
+        "to come when the backoff is over: {rejection:?}"
     );
     let long = deliver(&mut scheduler, now_us, &[arrival(51, 0, 0, now_us + 5 * SECOND)]);
     assert_eq!(answer(&long, 51), None, "this one would still be sent");
@@ -159,10 +158,10 @@
         |id| IncomingRequest { plan: 0, volume: VolumeId(3), ..incoming_request(id, 0, 0, 2 * SECOND) };
     let arrivals: Vec<_> = (0..60).map(|id| Event::RequestArrived(of_one_volume(id))).collect();
     let actions = deliver(&mut scheduler, 2 * SECOND - 500_000, &arrivals);
-    let retry_after_us: Vec<u64> =
+    let retry_after_us: Vec<Option<u64>> =
         (0..60).filter_map(|id| answer(&actions, id)).map(Answer::retry_after_us).collect();
     assert!(
-        retry_after_us.len() > 10 && retry_after_us.iter().all(|after_us| *after_us > 0),
+        retry_after_us.len() > 10 && retry_after_us.iter().all(|after_us| matches!(after_us, Some(1..))),
         "{retry_after_us:?}"
     );
     let mut spread = retry_after_us.clone();
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -9,9 +9,9 @@
     fleet.sent.last().expect("an attempt")
 }
 
-/// At two requests a second 50 never come within 5 s; the latency model is fitted all the same. Steady
-/// latencies allow a budget near the objective, so class 0 is then due after class 1, for which nothing is
-/// known yet.
+/// At two requests per second the 5 s window never holds the 50 completions that are always kept; the model
+/// is fitted nevertheless. Steady latencies allow a budget near the objective, so class 0 is then due after
+/// class 1, for which nothing is known yet.
 #[test]
 fn the_latency_model_is_fitted_at_a_low_rate() {
     for (count, first) in [(4, 1_000), (30, 1_001)] {
@@ -53,7 +53,11 @@
         let tracked = &fleet.requests[&attempt.request];
         let objective_us = fleet.settings.classes[tracked.request.class].latency_objective_us.unwrap();
         let waited_us = attempt.at_us - tracked.arrived_at_us;
-        assert!(waited_us <= objective_us + 10_000, "{} left {waited_us} us late", attempt.request);
+        assert!(
+            waited_us <= objective_us + 10_000,
+            "{} was sent {waited_us} us after its arrival",
+            attempt.request
+        );
     }
     assert!(fleet.sent.len() > 20);
 }
@@ -66,7 +70,7 @@
     fleet.submit_of_class(0, 0);
     fleet.advance();
     let timeouts: Vec<_> = fleet.sent.iter().map(|attempt| (attempt.request, attempt.timeout_us)).collect();
-    assert_eq!(timeouts, [(0, None)], "not while nothing speaks against the node");
+    assert_eq!(timeouts, [(0, None)], "no timeout before the node has been slow");
     fleet.submit_one_by_one(1..21, 150_000, 0);
     for (id, class, timeout_us) in [(100, 0, Some(200_000)), (101, 2, None)] {
         fleet.submit_of_class(id, class);
@@ -89,7 +93,7 @@
 /// with less time left until its objective than an attempt takes gets no timeout. Silence still counts, once
 /// it adds up.
 #[test]
-fn attempts_cut_short_are_no_failure_of_their_node() {
+fn attempts_with_little_time_left_do_not_count_as_node_failures() {
     let mut fleet = SimulatedFleet::unrestricted(3, 1);
     fleet.submit_of_class(0, 0);
     fleet.advance();
@@ -99,7 +103,7 @@
     fleet.submit(0, incoming_request(100, 0, 0, expires_at_us));
     fleet.advance();
     let last = last_sent(&fleet);
-    assert_eq!((last.request, last.timeout_us), (100, None), "it would be cut off in vain");
+    assert_eq!((last.request, last.timeout_us), (100, None), "a timeout would only waste the attempt");
     fleet.run_for(20_000);
     fleet.finish_attempt(100, AttemptOutcome::TimedOut);
     fleet.advance();
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -7,8 +7,7 @@
 
 /// Three gateways that know three nodes, with every rule in force.
 fn fleet() -> SimulatedFleet {
-    let mut fleet = SimulatedFleet::new(settings());
-    fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &ready_endpoints(3));
+    let mut fleet = SimulatedFleet::with_ready_nodes(settings(), 3);
     fleet.advance();
     fleet
 }
@@ -180,7 +179,6 @@
     let is_early = |attempt: &&SentAttempt| attempt.at_us < started_at_us + SECOND;
     let early_units: f64 = fleet.sent.iter().filter(is_early).count() as f64 * 2.0;
     assert!(early_units >= 4.0, "it is used all the same: {early_units} units");
-    // Rejected requests count as well; a node with no start time has warmed up.
     let is_late = |attempt: &&SentAttempt| attempt.at_us > started_at_us + 10 * SECOND;
     let late = fleet.sent.iter().filter(is_late).count();
     assert!(late > 60, "the allowance grows as the node warms up: {late}");
@@ -258,7 +256,8 @@
     assert!(fleet.rejected.len() > 30, "{} rejected at once", fleet.rejected.len());
 }
 
-/// Requests of one volume may name two plans: while it has no limit, it gathers no credit for the limited plan.
+/// Requests of one volume may name two plans: while it has no limit, it gathers no credit for the limited
+/// plan.
 #[test]
 fn a_plan_without_a_limit_leaves_no_credit_for_a_limited_one() {
     let mut fleet = fleet();
@@ -279,8 +278,7 @@
 #[test]
 fn a_failed_poll_of_the_endpoint_list_is_retried_once() {
     let on_request = SchedulerSettings { endpoints_on_request: true, ..settings() };
-    let mut fleet = SimulatedFleet::new(on_request);
-    fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &ready_endpoints(3));
+    let mut fleet = SimulatedFleet::with_ready_nodes(on_request, 3);
     fleet.advance();
     assert_eq!(fleet.watches_at_us.len(), 3, "each gateway watches from its start");
     fleet.notify(0, poll_failed());
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -87,10 +87,8 @@
 
 impl Sequence {
     fn new() -> Self {
-        let mut fleet = SimulatedFleet::new(settings());
-        let endpoints = ready_endpoints(NODES);
-        fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &endpoints);
-        Sequence { fleet, endpoints, last_request: 0 }
+        let fleet = SimulatedFleet::with_ready_nodes(settings(), NODES);
+        Sequence { fleet, endpoints: ready_endpoints(NODES), last_request: 0 }
     }
 
     fn run_step(&mut self, step: Step) {
--- a/tests/request_router.rs
+++ b/tests/request_router.rs
@@ -37,8 +37,8 @@
     fn start() -> Self {
         let (clock, metrics, attempts) =
             (Clock::start(), Rc::<RequestMetrics>::default(), Attempts::default());
-        let (core, router) = RequestRouter::new(settings(), 1, clock, metrics.clone());
-        tokio::task::spawn_local(core.run(RecordingTransport(attempts.clone())));
+        let (actor, router) = RequestRouter::new(settings(), 1, clock, metrics.clone());
+        tokio::task::spawn_local(actor.run(RecordingTransport(attempts.clone())));
         let node = endpoint("n1", 1, EndpointState::Ready, 0);
         router.endpoints_updated(EndpointUpdate::Snapshot(vec![node]));
         RouterFixture { router, attempts, clock, metrics }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -234,9 +234,8 @@
 }
 
 /// A node restarts twice; gateways are notified of it seconds apart, some restart with an older list. What
-/// those that were notified send within the window stays within the node's allowance, be there many
-/// gateways or few, though all of them request twice what it can serve. They send it no small part of that
-/// either: it is kept busy.
+/// those that were notified send within the window stays within the node's allowance, though all of them
+/// request twice what it can serve, whatever the number of gateways. They also use a good part of it.
 #[test]
 fn a_fleet_uses_the_allowance_of_a_warming_up_node_and_stays_within_it() {
     for gateways in [3usize, 45, 170] {
@@ -255,7 +254,7 @@
 
 /// Gateways that restarted together with their node; each serves a volume of its own within the volume's
 /// reservation. The node answers everything within one round.
-struct ReleasedFleet {
+struct RestartedFleet {
     warm_up: WarmUp,
     gateways: Vec<Scheduler>,
     /// Events for each gateway's next batch.
@@ -267,7 +266,7 @@
     requested_units: f64,
 }
 
-impl ReleasedFleet {
+impl RestartedFleet {
     /// The units of each request.
     const REQUEST_UNITS: f64 = 2.0;
 
@@ -276,7 +275,7 @@
         let policy = settings.slow_start.expect("a slow start policy");
         // The reservations are six tenths of what the node can serve.
         let units_per_second = gateway_count as f64 * settings.plans[1].reserved_rate / 0.6;
-        ReleasedFleet {
+        RestartedFleet {
             warm_up: WarmUp { policy, units_per_second },
             gateways: schedulers(&settings, 0, SIMULATION_START_US),
             events: vec![vec![cached(vec![node_started_at(0)])]; gateway_count],
@@ -344,7 +343,7 @@
 /// together stay within its allowance.
 #[test]
 fn restarted_gateways_serve_reservations_at_a_warming_up_node() {
-    let mut fleet = ReleasedFleet::new(60);
+    let mut fleet = RestartedFleet::new(60);
     for round in 0u32..600 {
         fleet.run_round(round);
     }
