--- a/src/bin/scheduler-simulator-adapter/main.rs
+++ b/src/bin/scheduler-simulator-adapter/main.rs
@@ -3,6 +3,7 @@
 //! The simulator sends a batch of messages, one JSON object a line, and waits for the actions that the batch
 //! led to. The adapter maps names and units between the two sides and decides nothing.
 
+mod ids;
 mod messages;
 mod replies;
 mod session;
--- a/src/bin/scheduler-simulator-adapter/messages.rs
+++ b/src/bin/scheduler-simulator-adapter/messages.rs
@@ -1,22 +1,15 @@
 //! The simulator's messages, decoded from lines. Messages that are unknown here are ignored.
 
+use crate::ids::{InstanceId, ListId};
 use crate::wire::{
-    WireAttemptEnd, WireClock, WireEndpoint, WireEndpointUpdate, WireGossip, WireHealthCheck, WireInstance,
-    WireList, WireRequest, WireRequestRef, WireStart, WireTimer,
+    NotHex, WireAttemptEnd, WireClock, WireEndpoint, WireEndpointUpdate, WireGossip, WireHealthCheck,
+    WireInstance, WireList, WireRequest, WireRequestRef, WireStart, WireTimer,
 };
-use serde::{Deserialize, Serialize};
+use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use storage_gateway::scheduler::{Endpoint, Event, RequestId, SchedulerSettings};
 
-/// The simulator's number for a scheduler.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
-pub struct InstanceId(u64);
-
-/// The simulator's number for an endpoint list.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
-pub struct ListId(u64);
-
 /// Why a line cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
@@ -35,8 +28,8 @@
         cause: serde_json::Error,
     },
     /// A volume or block is not given as a hexadecimal number.
-    #[error("'{0}' is not a key of hex digits")]
-    NotHex(String),
+    #[error(transparent)]
+    NotHex(#[from] NotHex),
 }
 
 /// A message of the simulator.
@@ -112,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// Where the line or the body of a known message is malformed.
+    /// Returns an error if the line or the body of a known message is malformed.
     pub fn decode(line: &str) -> Result<Option<Message>, MessageError> {
         let raw = RawMessage::decode(line)?;
         let event = match raw.name.as_str() {
--- a/src/bin/scheduler-simulator-adapter/replies.rs
+++ b/src/bin/scheduler-simulator-adapter/replies.rs
@@ -3,7 +3,7 @@
 //! Fields are declared in the alphabetical order of their names on the wire, which is the order in which they
 //! are written.
 
-use crate::messages::InstanceId;
+use crate::ids::InstanceId;
 use serde::Serialize;
 use std::io::{self, Write};
 use storage_gateway::scheduler::Action;
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// Where `output` cannot be written.
+    /// Returns an error if `output` cannot be written.
     pub fn write_to(&self, output: &mut impl Write) -> io::Result<()> {
         serde_json::to_writer(&mut *output, self)?;
         output.write_all(b"\n")
--- a/src/bin/scheduler-simulator-adapter/session.rs
+++ b/src/bin/scheduler-simulator-adapter/session.rs
@@ -1,6 +1,7 @@
 //! The schedulers that the simulator has started, and the batch of events that each is to handle next.
 
-use crate::messages::{InstanceId, ListId, Message, UpdateForm};
+use crate::ids::{InstanceId, ListId};
+use crate::messages::{Message, UpdateForm};
 use crate::replies::Reply;
 use indexmap::IndexMap;
 use std::any::Any;
@@ -36,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Where the message refers to an unknown endpoint list, or `output` cannot be written.
+    /// Returns an error if the message refers to an unknown endpoint list, or `output` cannot be written.
     pub fn handle(&mut self, message: Message, output: &mut impl Write) -> Result<(), SessionError> {
         match message {
             Message::SetClock { now_us } => self.now_us = now_us,
--- a/src/bin/scheduler-simulator-adapter/wire.rs
+++ b/src/bin/scheduler-simulator-adapter/wire.rs
@@ -3,7 +3,7 @@
 //! Fields carry the scheduler's names; the names on the wire stand in the serde attributes. Fields that are
 //! unknown here are ignored.
 
-use crate::messages::{InstanceId, ListId, MessageError};
+use crate::ids::{InstanceId, ListId};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -121,8 +121,8 @@
     ///
     /// # Errors
     ///
-    /// Where volume or block is not a hexadecimal number.
-    pub fn to_incoming_request(&self) -> Result<IncomingRequest, MessageError> {
+    /// Returns an error if volume or block is not a hexadecimal number.
+    pub fn to_incoming_request(&self) -> Result<IncomingRequest, NotHex> {
         let volume = self.volume.as_deref().map_or(Ok(0), parse_hex)?;
         let block = self.block.as_deref().map(parse_hex).transpose()?;
         // A negative number stands for a new object, which no shard holds yet.
@@ -141,8 +141,13 @@
     }
 }
 
-fn parse_hex(digits: &str) -> Result<u64, MessageError> {
-    u64::from_str_radix(digits, 16).map_err(|_| MessageError::NotHex(digits.to_owned()))
+/// A volume or block is not given as a hexadecimal number.
+#[derive(Debug, thiserror::Error)]
+#[error("'{0}' is not a key of hex digits")]
+pub struct NotHex(String);
+
+fn parse_hex(digits: &str) -> Result<u64, NotHex> {
+    u64::from_str_radix(digits, 16).map_err(|_| NotHex(digits.to_owned()))
 }
 
 /// The request that a message is about.
