--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -196,7 +196,7 @@
     fn complete_upload(&mut self, path: &str, upload_id: &str, body: &[u8]) -> Result<WriteResult, ApiError> {
         let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_such_upload)?;
         let mut bytes = Vec::new();
-        for listed in object::decode_complete(body)? {
+        for listed in object::decode_completion_request(body)? {
             let stored = parts.get(&listed.number).filter(|part| part.etag == listed.etag);
             let invalid = || ApiError::new(StatusCode::BAD_REQUEST, "InvalidPart", "No such part.");
             bytes.extend_from_slice(&stored.ok_or_else(invalid)?.bytes);
@@ -205,7 +205,7 @@
         let assembled = StoredObject::new(bytes.into(), None);
         let etag = assembled.etag.clone();
         self.objects.insert(path.into(), assembled);
-        let body = object::encode_completed("", "", "", &etag);
+        let body = object::encode_completion_result("", "", "", &etag);
         Ok(WriteResult { status: StatusCode::OK, body, etag: Some(etag) })
     }
 }
@@ -236,7 +236,7 @@
     let path = head.uri.path();
     println!("{} {}", head.method, head.uri);
     match operation {
-        Operation::Read { head: head_only, range } => store.borrow().read(path, head_only, range),
+        Operation::Read { head_only, range } => store.borrow().read(path, head_only, range),
         Operation::ListParts { upload_id, .. } => store.borrow().list_parts(&upload_id),
         operation => {
             let received = StoredObject::new(bytes, head.headers.get(CONTENT_TYPE).cloned());
--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -1,7 +1,7 @@
 //! The front end for the administration API.
 
 use super::frontend::add_bearer_challenge;
-use super::inventory::{InventoryCommand, ReloadError};
+use super::inventory::{InventoryCommand, InventoryReadError};
 use super::metrics::GatewayMetrics;
 use super::tenants::{TenantRegistry, TokenHash, hash_token};
 use crate::protocol::admin::{self, AdminRequest, AdminRequestError, NodeView, TenantDefinition};
@@ -63,12 +63,12 @@
     }
 }
 
-impl From<ReloadError> for AdminResponse {
-    fn from(error: ReloadError) -> Self {
+impl From<InventoryReadError> for AdminResponse {
+    fn from(error: InventoryReadError) -> Self {
         let text = error.to_string();
         let places = match error {
-            ReloadError::Invalid { errors, .. } => json!(errors),
-            ReloadError::UnknownFormat { .. } | ReloadError::Unreadable { .. } => json!([]),
+            InventoryReadError::Invalid { errors, .. } => json!(errors),
+            InventoryReadError::UnknownFormat { .. } | InventoryReadError::Unreadable { .. } => json!([]),
         };
         let body = json!({"error": text, "places": places});
         AdminResponse { status: StatusCode::UNPROCESSABLE_ENTITY, body }
@@ -121,8 +121,8 @@
             AdminRequest::PutTenant(name) => self.put_tenant(name, body).await,
             AdminRequest::DeleteTenant(name) => self.delete_tenant(&name),
             AdminRequest::Nodes => self.list_nodes().await,
-            AdminRequest::Drain(name) => self.set_drained(name, true).await,
-            AdminRequest::Return(name) => self.set_drained(name, false).await,
+            AdminRequest::Drain(name) => self.drain_node(name).await,
+            AdminRequest::Return(name) => self.return_node(name).await,
             AdminRequest::Reload => self.reload_inventory().await,
         }
     }
@@ -178,15 +178,16 @@
         }
     }
 
-    async fn set_drained(&self, node: String, drained: bool) -> AdminResponse {
-        let state = if drained { "draining" } else { "as in the inventory" };
+    async fn drain_node(&self, node: String) -> AdminResponse {
         let name = node.clone();
-        let command = |reply| InventoryCommand::SetDrained { node, drained, reply };
-        match self.query_inventory(command).await {
-            Some(true) => AdminResponse::ok(json!({"node": name, "state": state})),
-            Some(false) => AdminResponse::error(StatusCode::NOT_FOUND, "no such node"),
-            None => AdminResponse::stopping(),
-        }
+        let known = self.query_inventory(|reply| InventoryCommand::DrainNode { node, reply }).await;
+        node_response(&name, "draining", known)
+    }
+
+    async fn return_node(&self, node: String) -> AdminResponse {
+        let name = node.clone();
+        let known = self.query_inventory(|reply| InventoryCommand::ReturnNode { node, reply }).await;
+        node_response(&name, "as in the inventory", known)
     }
 
     async fn reload_inventory(&self) -> AdminResponse {
@@ -207,3 +208,13 @@
         reply.await.ok()
     }
 }
+
+/// The answer to a command that brings a node into this state. `known` says whether the inventory names the
+/// node; none if the inventory's actor has ended.
+fn node_response(name: &str, state: &str, known: Option<bool>) -> AdminResponse {
+    match known {
+        Some(true) => AdminResponse::ok(json!({"node": name, "state": state})),
+        Some(false) => AdminResponse::error(StatusCode::NOT_FOUND, "no such node"),
+        None => AdminResponse::stopping(),
+    }
+}
--- a/src/gateway/config/object/error.rs
+++ b/src/gateway/config/object/error.rs
@@ -1,6 +1,6 @@
 //! What can be wrong with an operator's file.
 
-use crate::gateway::inventory::ReloadError;
+use crate::gateway::inventory::InventoryReadError;
 use crate::gateway::tenants::TenantError;
 use crate::protocol::object::UploadKey;
 use std::io;
@@ -53,7 +53,7 @@
     UploadSecretTooShort,
     /// The inventory cannot be read or is malformed.
     #[error(transparent)]
-    Inventory(#[from] ReloadError),
+    Inventory(#[from] InventoryReadError),
     /// A tenant's definition is invalid.
     #[error(transparent)]
     Tenant(#[from] TenantError),
--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read, or it or a file that it names is invalid.
+    /// Returns an error if the file cannot be read, or it or a file that it names is invalid.
     pub fn load(path: &Path) -> Result<ObjectGatewayConfig, ConfigError> {
         let path_text = path.display().to_string();
         let text = match std::fs::read_to_string(path) {
@@ -76,7 +76,7 @@
 
     fn decode(text: &str, folder: &Path) -> Result<ObjectGatewayConfig, ObjectConfigError> {
         let file = parse(text)?;
-        let admin_token = validate_admin(&file.admin)?;
+        let admin_token = parse_admin_token(&file.admin)?;
         validate_object(&file.object)?;
         validate_classes(&file.classes)?;
         validate_plans(&file.plans)?;
@@ -112,7 +112,7 @@
 }
 
 /// Returns the hash of the administration's token.
-fn validate_admin(admin: &AdminSection) -> Result<TokenHash, ObjectConfigError> {
+fn parse_admin_token(admin: &AdminSection) -> Result<TokenHash, ObjectConfigError> {
     if !admin.listen.ip().is_loopback() {
         return Err(ObjectConfigError::AdminNotLoopback);
     }
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Where the variable is not set, the file cannot be read, or its contents are invalid.
+    /// Returns an error if the variable is not set, the file cannot be read, or its contents are invalid.
     pub fn load() -> Result<PlatformConfig, ConfigError> {
         let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let json = match std::fs::read(&path) {
--- a/src/gateway/descriptors.rs
+++ b/src/gateway/descriptors.rs
@@ -9,9 +9,9 @@
 const RESERVED_DESCRIPTORS: usize = 32;
 /// The fewest descriptors that are divided, however low the limit is set.
 const MIN_DIVIDED_DESCRIPTORS: usize = 16;
-/// Two fifths of the descriptors are for connections to storage nodes. Usual clients take up at most a third
-/// of all. With a quarter for nodes a crowded gateway ran out of them, and an attempt that finds none ends
-/// its request.
+/// Two fifths of the descriptors are for connections to storage nodes. Clients rarely use more than a third.
+/// With only a quarter for nodes, a busy gateway ran out, and a request whose attempt finds no descriptor
+/// cannot be served.
 const NODE_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
 /// A tenth is for connections of clients that are rejected: they hold one only for as long as that takes.
 const REJECTED_CLIENT_FRACTION: Fraction = Fraction { numerator: 1, denominator: 10 };
--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -6,7 +6,7 @@
 use crate::protocol::endpoint_list::{self, EndpointList, ListKind};
 use crate::routing::RouterHandle;
 use crate::scheduler::EndpointUpdate;
-use crate::transport::{ExchangeError, NodeConnection};
+use crate::transport::NodeConnection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 /// By how much less the watch of the last of many gateways waits.
 const WATCH_WAIT_SPREAD: Duration = Duration::from_secs(8);
-/// How long a call that does not wait may take, and how much longer than its wait a watch may. Gateways count
-/// as notified of what a silent watch misses 2 s after its wait (Protocol page, "Figures"). A failed call is
-/// repeated in the gateway's turn, 4.5 s later at most; together with this timeout that makes the 6 s after
-/// which gateways count as notified of any change (same place).
+/// How long a call may take, beyond the wait of a watch. The platform treats a gateway as informed of a
+/// change at fixed times, whether or not the change reached it: 2 s after the wait of a watch that stays
+/// silent, and 6 s after any change (Protocol page, "Figures"). A failed call is repeated at most 4.5 s
+/// later, which leaves 1.5 s for the call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest endpoint list that is read, in bytes. The limit is the gateway's own: 3,200 storage nodes, the
 /// most of "A Fixed Test for All Future Versions of the Gateway", take 419,200 bytes at the length of the
@@ -46,6 +46,15 @@
     CallFailed,
 }
 
+/// Why one request to discovery brought no body to decode.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FetchError {
+    /// No connection could be opened, or it brought no response.
+    ConnectionBroke,
+    /// There was a response, but its status is not 200 or its body broke off or is too long.
+    NotAList,
+}
+
 /// The state of a watch on discovery, from its first poll until one fails.
 #[derive(Default)]
 struct WatchSession {
@@ -72,20 +81,20 @@
 }
 
 impl<P, R> EndpointWatcher<P, R> {
-    /// Publishes the cached list, then watches discovery whenever the router requests a poll, until a call
+    /// Publishes the cached list, then watches discovery whenever the router requests it, until a call
     /// fails: when to call again is for the scheduler to decide.
-    pub async fn run(self, mut poll_requests: mpsc::UnboundedReceiver<()>) {
+    pub async fn run(self, mut watch_requests: mpsc::UnboundedReceiver<()>) {
         let mut version = self.publish_cached_list();
         let mut address_changes = self.discovery_address.clone();
         loop {
             tokio::select! {
-                request = poll_requests.recv() => if request.is_none() { return },
+                request = watch_requests.recv() => if request.is_none() { return },
                 Ok(()) = address_changes.changed() => {}
             }
             self.watch_until_failure(&mut version, &mut address_changes).await;
-            // A poll requested during the watch would go out at once, against the rule on the pause between
+            // A watch requested meanwhile would go out at once, against the rule on the pause between
             // polls.
-            while poll_requests.try_recv().is_ok() {}
+            while watch_requests.try_recv().is_ok() {}
             self.router.endpoints_updated(EndpointUpdate::PollFailed);
         }
     }
@@ -100,10 +109,9 @@
 
     /// Polls again after each answer, until a call fails.
     ///
-    /// When discovery moves, the watch moves at once: the old address may still hold the call, but sends
-    /// nothing more, and soon after the move the gateway counts as notified of what the new one has. A watch
-    /// that timed out is reopened at once as well, as the gateway is about to count as notified of what it
-    /// missed; the scheduler is informed, as that moment may already have passed.
+    /// If discovery moves, reopens the watch at the new address at once: the old one may keep the call open
+    /// without ever answering. A watch that times out is also reopened at once, because changes that it
+    /// missed are about to take effect. The scheduler is notified of the timeout, as they may already have.
     async fn watch_until_failure(
         &self,
         version: &mut Option<u64>,
@@ -151,8 +159,8 @@
         self.metrics.list_calls.increment();
         let timeout = if version.is_some() { self.watch_wait + CALL_TIMEOUT } else { CALL_TIMEOUT };
         match tokio::time::timeout(timeout, self.fetch_list(connection, version)).await {
-            Ok(Some(body)) => self.decode_list(&body),
-            Ok(None) => {
+            Ok(Ok(body)) => self.decode_list(&body),
+            Ok(Err(FetchError::ConnectionBroke | FetchError::NotAList)) => {
                 self.metrics.list_failures.increment();
                 Err(PollError::CallFailed)
             }
@@ -180,43 +188,44 @@
         }
     }
 
-    /// The body of discovery's answer; none if the call failed or the answer is no list.
+    /// The body of discovery's answer.
     async fn fetch_list(
         &self,
         connection: &mut Option<NodeConnection>,
         version: Option<u64>,
-    ) -> Option<Bytes> {
+    ) -> Result<Bytes, FetchError> {
         let address = *self.discovery_address.borrow();
         // A reused connection that breaks does not mean that discovery is down: it may have been closed just
         // when the request was written to it. A new one will show.
-        if let Some(reused) = connection.take().filter(NodeConnection::is_reusable)
-            && let Ok(body) = self.request_list(reused, connection, address, version).await
-        {
-            return body;
+        if let Some(reused) = connection.take().filter(NodeConnection::is_reusable) {
+            let fetched = self.request_list(reused, connection, address, version).await;
+            if fetched != Err(FetchError::ConnectionBroke) {
+                return fetched;
+            }
         }
         // A machine that is cut off accepts no connection either: that must not take a watch's time.
-        let new = tokio::time::timeout(CALL_TIMEOUT, NodeConnection::connect(address)).await.ok()?.ok()?;
-        self.request_list(new, connection, address, version).await.ok().flatten()
+        let connecting = tokio::time::timeout(CALL_TIMEOUT, NodeConnection::connect(address));
+        let Ok(Ok(new)) = connecting.await else { return Err(FetchError::ConnectionBroke) };
+        self.request_list(new, connection, address, version).await
     }
 
-    /// One exchange on `open`, which goes back to `connection` if the answer came complete. None: there was
-    /// an answer, but it is no list.
+    /// One exchange on `open`, which goes back to `connection` if the answer came complete.
     async fn request_list(
         &self,
         mut open: NodeConnection,
         connection: &mut Option<NodeConnection>,
         address: SocketAddr,
         version: Option<u64>,
-    ) -> Result<Option<Bytes>, ExchangeError> {
+    ) -> Result<Bytes, FetchError> {
         let request = endpoint_list::watch_request(address, version, self.watch_wait);
-        let response = open.exchange(request).await?;
+        let response = open.send_request(request).await.map_err(|_| FetchError::ConnectionBroke)?;
         if response.status() != hyper::StatusCode::OK {
-            return Ok(None);
+            return Err(FetchError::NotAList);
         }
         let Ok(body) = Limited::new(response.into_body(), MAX_LIST_LEN).collect().await else {
-            return Ok(None);
+            return Err(FetchError::NotAList);
         };
         *connection = Some(open);
-        Ok(Some(body.to_bytes()))
+        Ok(body.to_bytes())
     }
 }
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -64,7 +64,8 @@
 ///
 /// # Errors
 ///
-/// If the body is longer than `max_len` bytes, breaks off, or is not complete by the deadline.
+/// Returns an error if the body is longer than `max_len` bytes, breaks off, or is not complete by the
+/// deadline.
 pub async fn read_body(body: Incoming, max_len: usize, deadline: Instant) -> Result<Bytes, BodyError> {
     match timeout_at(deadline, Limited::new(body, max_len).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -10,7 +10,8 @@
 pub struct GatewayMetrics {
     /// The router's counters.
     pub requests: Rc<RequestMetrics>,
-    /// Requests that were malformed or named something unknown.
+    /// Requests rejected as malformed, unauthorized, duplicate or with an incomplete body. The object API
+    /// does not count unknown buckets and uploads, a missing Content-Length, or a malformed Req-Deadline.
     pub bad_requests: Counter,
     /// Bodies that were too large.
     pub bodies_too_large: Counter,
@@ -24,9 +25,9 @@
     pub list_malformed: Counter,
     /// Endpoints that the lists named, in all.
     pub list_entries: Counter,
-    /// Reloads of the configuration.
+    /// SIGHUP reloads that took effect.
     pub reloads: Counter,
-    /// Reloads that failed; the previous configuration stayed in effect.
+    /// SIGHUP reloads that failed; the previous configuration or inventory stayed in effect.
     pub reloads_failed: Counter,
 }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,6 +4,15 @@
 //! polls discovery for storage nodes; the other serves the object API and an administration API, is
 //! configured by an operator's file and reads storage nodes from an inventory. Both start in `startup` and
 //! share the rest.
+//!
+//! | subject | modules |
+//! | --- | --- |
+//! | started first | `config`, `startup`, `error`, `log` |
+//! | lifecycle | `signals`, `shutdown`, `reload` |
+//! | front ends | `frontend` (shared), `platform_frontend`, `object_frontend`, `admin_frontend` |
+//! | tenants | `tenants`, and `hashing` for the placement of their objects |
+//! | storage nodes | `discovery` or `inventory`, then `node_registry`, `node_transport`, `descriptors` |
+//! | metrics | `metrics` |
 
 mod admin_frontend;
 mod config;
@@ -11,6 +20,7 @@
 mod discovery;
 mod error;
 mod frontend;
+mod hashing;
 mod inventory;
 pub mod log;
 mod metrics;
@@ -35,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// Where the configuration is missing or invalid, or the gateway cannot run.
+/// Returns an error if the configuration is missing or invalid, or the gateway cannot run.
 pub fn run_platform_gateway() -> Result<(), GatewayError> {
     let config = PlatformConfig::load()?;
     startup::run_platform_gateway(config)?;
@@ -47,7 +57,7 @@
 ///
 /// # Errors
 ///
-/// Where the configuration is missing or invalid, or the gateway cannot run.
+/// Returns an error if the configuration is missing or invalid, or the gateway cannot run.
 pub fn run_object_gateway(config_file: &Path) -> Result<(), GatewayError> {
     let config = ObjectGatewayConfig::load(config_file)?;
     startup::run_object_gateway(config)?;
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -27,14 +27,14 @@
     /// A response that has been read completely.
     fn complete_response(response: Response<Bytes>) -> Self::Response;
 
-    /// A response whose body follows; none in a protocol whose [`ResponseLimits`] stream nothing.
+    /// A response whose body follows; none in a protocol whose [`ResponsePolicy`] streams nothing.
     fn streamed_response(_response: Response<StreamedBody>) -> Option<Self::Response> {
         None
     }
 }
 
-/// How long and how large a storage node's response may be.
-pub struct ResponseLimits {
+/// How long and how large a storage node's response may be, and whether it is streamed.
+pub struct ResponsePolicy {
     /// A response that has begun is malformed once nothing more of it has arrived for this time.
     pub stall_timeout: Duration,
     /// The longest body that is read completely, in bytes.
@@ -48,10 +48,10 @@
     router: &RouterHandle<P, P::Response>,
     nodes: &NodeRegistry,
     attempt: Attempt<P>,
-    limits: ResponseLimits,
+    policy: ResponsePolicy,
 ) {
     match nodes.pool(&attempt.node) {
-        Some(pool) => pool.execute(exchange(router.clone(), attempt, limits)),
+        Some(pool) => pool.execute(build_exchange(router.clone(), attempt, policy)),
         None => router.attempt_ended(
             attempt.request,
             attempt.number,
@@ -60,10 +60,10 @@
     }
 }
 
-fn exchange<P: AttemptPayload>(
+fn build_exchange<P: AttemptPayload>(
     router: RouterHandle<P, P::Response>,
     attempt: Attempt<P>,
-    limits: ResponseLimits,
+    policy: ResponsePolicy,
 ) -> Exchange {
     let Attempt { request, number, node: _, payload, deadline, cancelled, interest } = attempt;
     let mut reporter =
@@ -75,9 +75,9 @@
         }),
         deadline,
         cancelled,
-        stall_timeout: limits.stall_timeout,
-        streaming: limits.streaming,
-        max_body_len: limits.max_body_len,
+        stall_timeout: policy.stall_timeout,
+        streaming: policy.streaming,
+        max_body_len: policy.max_body_len,
         on_event: Box::new(move |event| reporter.report(event)),
     }
 }
@@ -134,7 +134,7 @@
 fn outcome_of(failure: ExchangeFailure) -> AttemptOutcome {
     match failure {
         ExchangeFailure::DescriptorsExhausted | ExchangeFailure::NotStarted => AttemptOutcome::NotSent,
-        ExchangeFailure::ConnectFailed => AttemptOutcome::ConnectFailed,
+        ExchangeFailure::NotDelivered => AttemptOutcome::ConnectFailed,
         ExchangeFailure::ConnectionReset => AttemptOutcome::ConnectionReset,
         // The node itself is healthy: it responded.
         ExchangeFailure::MalformedResponse => AttemptOutcome::Failed,
--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -83,7 +83,7 @@
 /// How much of a response may be read completely before the client gets any of it, in bytes.
 fn buffered_response_len(request: &ObjectRequest, limits: &ObjectLimits) -> u64 {
     match &request.operation {
-        Operation::Read { head: false, range } => range
+        Operation::Read { head_only: false, range } => range
             .as_ref()
             .and_then(|range| range.max_len())
             .unwrap_or(u64::MAX)
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -3,7 +3,7 @@
 use super::routed_request::RoutedRequest;
 use super::{ObjectClass, ObjectFrontend};
 use crate::gateway::frontend::RESPONSE_MARGIN_US;
-use crate::gateway::tenants::hash_fields;
+use crate::gateway::hashing::hash_fields;
 use crate::protocol::client_request::parse_timeout;
 use crate::protocol::object::{ApiError, ObjectRequest, Operation};
 use crate::scheduler::{BlockId, IncomingRequest, RequestId, VolumeId};
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Counts a request that is malformed or that no tenant's token allows.
+    /// Counts a request that is rejected as malformed, unauthorized or with an incomplete body. Unknown
+    /// buckets and uploads, a missing Content-Length, and a malformed Req-Deadline are not counted.
     fn bad_request(&self, error: ApiError) -> Rejection {
         self.metrics.bad_requests.increment();
         error.into()
--- a/src/gateway/object_frontend/rejection.rs
+++ b/src/gateway/object_frontend/rejection.rs
@@ -6,15 +6,16 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// When a client should come back that is rejected for want of connections or memory, in microseconds.
+/// The `Retry-After` of the response if too many connections are open or too much memory is reserved, in
+/// microseconds.
 const OVERLOAD_RETRY_AFTER_US: u64 = 1_000_000;
 
-/// An error, and when the client should come back.
+/// An error, and the `Retry-After` of its response.
 #[derive(Debug)]
 pub struct Rejection {
     /// The error.
     pub error: ApiError,
-    /// When the client should come back, counted from now, in microseconds; none if there is no advice.
+    /// The `Retry-After` of the response, in microseconds; `None` to send none.
     pub retry_after_us: Option<u64>,
 }
 
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -3,8 +3,9 @@
 use super::Rejection;
 use super::routed_request::RoutedRequest;
 use crate::protocol::object::{
-    ApiError, ObjectPath, ObjectRequest, Operation, Upload, UploadKey, decode_completed, decode_error,
-    decode_initiated, decode_listing, encode_completed, encode_initiated, encode_listing, headers_to_client,
+    ApiError, ErrorBody, ObjectPath, ObjectRequest, Operation, Upload, UploadKey, decode_completion_result,
+    decode_error, decode_initiated, decode_listing, encode_completion_result, encode_initiated,
+    encode_listing, headers_to_client,
 };
 use crate::transport::{ResponseBody, full_body};
 use bytes::Bytes;
@@ -42,9 +43,9 @@
 }
 
 fn client_error(head: &Parts, body: &Bytes) -> ApiError {
-    let (code, message) = decode_error(body).unwrap_or_else(|| {
+    let ErrorBody { code, message } = decode_error(body).unwrap_or_else(|| {
         let reason = head.status.canonical_reason().unwrap_or("Error");
-        (reason.replace(' ', ""), format!("{reason}."))
+        ErrorBody { code: reason.replace(' ', ""), message: format!("{reason}.") }
     });
     let mut error = ApiError::new(head.status, &code, &message);
     *error.headers = headers_to_client(&head.headers);
@@ -63,11 +64,13 @@
 /// S3 may begin a completion with status 200 and end it with an error.
 fn completed(body: &Bytes, request: &ObjectRequest) -> Result<Option<String>, ApiError> {
     let ObjectRequest { bucket, key, .. } = request;
-    if let Some(etag) = decode_completed(body) {
-        return Ok(Some(encode_completed(&format!("/{bucket}/{key}"), bucket, key, &etag)));
+    if let Some(etag) = decode_completion_result(body) {
+        return Ok(Some(encode_completion_result(&format!("/{bucket}/{key}"), bucket, key, &etag)));
     }
     match decode_error(body) {
-        Some((code, message)) => Err(ApiError::new(StatusCode::INTERNAL_SERVER_ERROR, &code, &message)),
+        Some(ErrorBody { code, message }) => {
+            Err(ApiError::new(StatusCode::INTERNAL_SERVER_ERROR, &code, &message))
+        }
         None => Ok(None),
     }
 }
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -5,7 +5,7 @@
 use crate::gateway::tenants::Tenant;
 use crate::protocol::object::{
     ApiError, NodeRequest, ObjectPath, ObjectRequest, Operation, Upload, bearer_token, decode,
-    decode_complete, encode_complete, header_value,
+    decode_completion_request, encode_completion_request, header_value,
 };
 use bytes::Bytes;
 use hyper::header::{HOST, HeaderMap, HeaderValue};
@@ -28,7 +28,9 @@
     /// The request to a storage node.
     pub fn node_request(&self, body: Bytes, request_id: &str) -> Result<NodeRequest, ApiError> {
         let body = match self.request.operation {
-            Operation::CompleteUpload { .. } => encode_complete(decode_complete(&body)?).into(),
+            Operation::CompleteUpload { .. } => {
+                encode_completion_request(decode_completion_request(&body)?).into()
+            }
             _ => body,
         };
         let node_upload = self.upload.as_ref().map(|upload| upload.node_id.as_str());
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -3,7 +3,7 @@
 use super::body::BodyPermit;
 use super::limits::ObjectLimits;
 use crate::gateway::node_registry::NodeRegistry;
-use crate::gateway::node_transport::{AttemptPayload, ResponseLimits, start_attempt};
+use crate::gateway::node_transport::{AttemptPayload, ResponsePolicy, start_attempt};
 use crate::protocol::object::NodeRequest;
 use crate::routing::{Attempt, AttemptTransport, RouterHandle};
 use crate::transport::{StreamedBody, StreamingRule};
@@ -76,12 +76,12 @@
 
 impl AttemptTransport<ObjectPayload> for ObjectTransport {
     fn start(&mut self, attempt: Attempt<ObjectPayload>) {
-        let limits = ResponseLimits {
+        let policy = ResponsePolicy {
             stall_timeout: self.limits.stall_timeout,
             max_body_len: MAX_METADATA_LEN.max(self.limits.response_buffer_len as usize),
             streaming: self.streaming_rule(attempt.payload.clone()),
         };
-        start_attempt(&self.router, &self.nodes, attempt, limits);
+        start_attempt(&self.router, &self.nodes, attempt, policy);
     }
 
     fn watch_endpoints(&mut self) {
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -4,6 +4,7 @@
 mod response;
 mod transport;
 
+pub use open_request_id::OpenRequestIds;
 pub use transport::PlatformTransport;
 
 use super::frontend::{HealthStatus, RESPONSE_MARGIN_US, read_body};
@@ -15,13 +16,10 @@
 use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, full_body};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
-use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 use open_request_id::OpenRequestId;
 use response::{PlatformResponse, Rejection};
-use rustc_hash::FxHashSet;
-use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -46,13 +44,13 @@
     pub metrics: Rc<GatewayMetrics>,
     /// Whether the program still serves.
     pub phase: watch::Receiver<LifecyclePhase>,
-    /// When a client should come back that is rejected for want of connections, in microseconds; none if
-    /// there is no advice.
+    /// The `Retry-After` of the response if too many connections are open, in microseconds; `None` to send
+    /// none.
     pub overload_retry_after_us: Option<u64>,
     /// When requests are to be answered during a graceful shutdown.
     pub shutdown: Rc<ShutdownSchedule>,
     /// The ids of the requests in progress.
-    pub open_ids: RefCell<FxHashSet<HeaderValue>>,
+    pub open_ids: OpenRequestIds,
 }
 
 impl PlatformFrontend {
@@ -89,10 +87,7 @@
     }
 
     fn register_id(&self, head: &Parts) -> Result<OpenRequestId<'_>, Rejection> {
-        head.headers
-            .get("req-id")
-            .and_then(|id| OpenRequestId::register(&self.open_ids, id))
-            .ok_or(Rejection::DuplicateId)
+        head.headers.get("req-id").and_then(|id| self.open_ids.register(id)).ok_or(Rejection::DuplicateId)
     }
 
     fn incoming_request(&self, parsed: &ParsedRequest) -> IncomingRequest {
--- a/src/gateway/platform_frontend/response.rs
+++ b/src/gateway/platform_frontend/response.rs
@@ -11,7 +11,7 @@
 pub(super) struct PlatformResponse {
     pub status: StatusCode,
     pub body: Bytes,
-    /// When the client should come back, counted from now, in microseconds; none if there is no advice.
+    /// The `Retry-After` of the response, in microseconds; `None` to send none.
     pub retry_after_us: Option<u64>,
 }
 
@@ -83,7 +83,8 @@
         counter.increment();
     }
 
-    /// The answer; a client that is rejected for want of connections should come back after this time.
+    /// The answer. `overload_retry_after_us` is its `Retry-After` if too many connections are open, in
+    /// microseconds; `None` to send none.
     pub fn into_response(self, overload_retry_after_us: Option<u64>) -> PlatformResponse {
         match self {
             Rejection::Overloaded => {
@@ -105,7 +106,7 @@
 
 fn malformed(cause: RequestError) -> PlatformResponse {
     let status = match cause {
-        RequestError::Length => StatusCode::LENGTH_REQUIRED,
+        RequestError::AmbiguousLength => StatusCode::LENGTH_REQUIRED,
         _ => StatusCode::BAD_REQUEST,
     };
     PlatformResponse::new(status, format!("{cause}\n"))
--- a/src/gateway/platform_frontend/transport.rs
+++ b/src/gateway/platform_frontend/transport.rs
@@ -1,7 +1,7 @@
 //! Takes the router's attempts to the storage nodes of the platform.
 
 use crate::gateway::node_registry::NodeRegistry;
-use crate::gateway::node_transport::{AttemptPayload, ResponseLimits, start_attempt};
+use crate::gateway::node_transport::{AttemptPayload, ResponsePolicy, start_attempt};
 use crate::protocol::client_request::{self, ForwardedRequest};
 use crate::routing::{Attempt, AttemptTransport, RouterHandle};
 use crate::transport::StreamingRule;
@@ -37,22 +37,22 @@
     pub router: RouterHandle<ForwardedRequest, Bytes>,
     /// The storage nodes.
     pub nodes: NodeRegistry,
-    /// Starts a watch of the endpoint list.
-    pub watch: mpsc::UnboundedSender<()>,
+    /// Requests watches of the endpoint list.
+    pub watch_requests: mpsc::UnboundedSender<()>,
 }
 
 impl AttemptTransport<ForwardedRequest> for PlatformTransport {
     fn start(&mut self, attempt: Attempt<ForwardedRequest>) {
-        let limits = ResponseLimits {
+        let policy = ResponsePolicy {
             stall_timeout: RESPONSE_STALL_TIMEOUT,
             max_body_len: client_request::MAX_BODY_LEN,
             streaming: StreamingRule::never(),
         };
-        start_attempt(&self.router, &self.nodes, attempt, limits);
+        start_attempt(&self.router, &self.nodes, attempt, policy);
     }
 
     fn watch_endpoints(&mut self) {
         // The endpoint watcher lives as long as the program.
-        let _ = self.watch.send(());
+        let _ = self.watch_requests.send(());
     }
 }
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -10,9 +10,9 @@
 //! | [`FINAL_RESPONSES_PERIOD`] later | `ClosingIdle` | idle connections are closed |
 //! | [`CLOSING_IDLE_PERIOD`] later | | every request has its final answer |
 //!
-//! The service period of the platform's gateway reaches as far towards SIGKILL as the rest allows: clients go
-//! on using the connections that they have, and closed early they would find no gateway until the next start,
-//! which comes no sooner for it.
+//! For the platform's gateway the service period lasts as close to SIGKILL as the later phases allow. Clients
+//! keep using their open connections; closing those early would leave them without a gateway, and would not
+//! make the restart any sooner.
 
 use crate::transport::LifecyclePhase;
 use std::cell::Cell;
--- a/src/gateway/signals.rs
+++ b/src/gateway/signals.rs
@@ -1,5 +1,6 @@
 //! The signals that the gateway handles: SIGTERM and SIGINT shut it down, SIGUSR1 logs the metrics, and
-//! SIGHUP reloads the configuration (see [`reload`](super::reload)).
+//! SIGHUP reloads the discovery address (platform gateway) or the inventory (object gateway): see
+//! [`reload`](super::reload).
 
 use super::error::RunError;
 use super::metrics::GatewayMetrics;
@@ -21,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// Where the system does not install a handler.
+    /// Returns an error if the system does not install a handler.
     pub fn install() -> Result<Self, RunError> {
         Ok(SignalHandlers {
             terminate: install_handler(SignalKind::terminate())?,
@@ -57,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// Where the system does not install the handler.
+/// Returns an error if the system does not install the handler.
 pub fn hangup_signal() -> Result<Signal, RunError> {
     install_handler(SignalKind::hangup())
 }
--- a/src/gateway/startup/mod.rs
+++ b/src/gateway/startup/mod.rs
@@ -6,7 +6,6 @@
 use super::config::object::ObjectGatewayConfig;
 use super::config::platform::PlatformConfig;
 use super::error::RunError;
-use super::inventory::InventoryCommand;
 use super::log;
 use super::metrics::GatewayMetrics;
 use super::shutdown::ShutdownSchedule;
@@ -17,7 +16,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet, LocalSet};
 
 /// What a gateway of either kind is started with.
@@ -34,16 +33,13 @@
     servers: Vec<JoinHandle<()>>,
     /// These run for as long as the gateway.
     actors: Vec<JoinHandle<()>>,
-    /// Keeps the inventory's actor alive: during a shutdown the administration may end before the object API,
-    /// and the end of the actor must not be taken for a failure.
-    _inventory: Option<mpsc::UnboundedSender<InventoryCommand>>,
 }
 
 /// Serves the platform's protocol until the gateway is told to stop.
 ///
 /// # Errors
 ///
-/// Where the system denies what the gateway needs, or an actor ends.
+/// Returns an error if the system denies what the gateway needs, or an actor ends.
 pub fn run_platform_gateway(config: PlatformConfig) -> Result<(), RunError> {
     run(|context| platform_gateway::start(config, context))
 }
@@ -52,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// Where the system denies what the gateway needs, or an actor ends.
+/// Returns an error if the system denies what the gateway needs, or an actor ends.
 pub fn run_object_gateway(config: ObjectGatewayConfig) -> Result<(), RunError> {
     run(|context| object_gateway::start(config, context))
 }
@@ -84,6 +80,7 @@
     tokio::select! {
         () = wait_for_all(tasks.servers) => Ok(()),
         () = wait_for_first(tasks.actors) => Err(RunError::ActorStopped),
+        // Drives the shutdown and never ends by itself: the servers end first.
         () = signals => Ok(()),
     }
 }
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -32,14 +32,15 @@
 ///
 /// # Errors
 ///
-/// Where the SIGHUP handler or a listener cannot be had.
+/// Returns an error if the SIGHUP handler cannot be installed, or an address cannot be bound.
 pub async fn start(config: ObjectGatewayConfig, context: GatewayContext) -> Result<RunningTasks, RunError> {
     let hangup = hangup_signal()?;
-    let ConnectionBudget { clients, nodes } = connection_budget(&config);
-    let nodes = NodeRegistry::new(nodes, zone_names(&config.inventory.nodes));
+    let ConnectionBudget { clients, nodes: pool_limits } = connection_budget(&config);
+    let nodes = NodeRegistry::new(pool_limits, zone_names(&config.inventory.nodes));
     let started = GatewayActors::start(config.inventory, config.settings, config.limits, nodes, &context);
     let GatewayActors { router, racks, inventory, tasks: mut actors } = started;
     let GatewayContext { metrics, phase, clock, .. } = context;
+    // This task also keeps the inventory's actor alive after the administration's server has ended.
     actors.push(spawn_local(reload_inventory(hangup, inventory.clone(), metrics.clone())));
     let object_frontend = Rc::new(ObjectFrontend {
         router,
@@ -56,7 +57,7 @@
     let admin_frontend = Rc::new(AdminFrontend {
         token: config.admin_token,
         tenants: config.tenants,
-        inventory: inventory.clone(),
+        inventory,
         metrics,
         phase: phase.clone(),
     });
@@ -66,7 +67,7 @@
         spawn_object_server(object_listener, clients, phase.clone(), object_frontend),
         spawn_admin_server(admin_listener, phase, admin_frontend),
     ];
-    Ok(RunningTasks { servers, actors, _inventory: Some(inventory) })
+    Ok(RunningTasks { servers, actors })
 }
 
 fn connection_budget(config: &ObjectGatewayConfig) -> ConnectionBudget {
@@ -104,13 +105,8 @@
         let metrics = context.metrics.requests.clone();
         let (router_actor, router) = RequestRouter::new(settings, fastrand::u64(..), context.clock, metrics);
         let (inventory, commands) = mpsc::unbounded_channel();
-        let inventory_actor = InventoryActor {
-            path: source.file,
-            inventory: source.nodes,
-            racks: racks.clone(),
-            nodes: nodes.clone(),
-            router: router.clone(),
-        };
+        let inventory_actor =
+            InventoryActor::new(source.file, source.nodes, racks.clone(), nodes.clone(), router.clone());
         let transport = ObjectTransport { router: router.clone(), nodes, limits };
         let tasks =
             vec![spawn_local(inventory_actor.run(commands)), spawn_local(router_actor.run(transport))];
--- a/src/gateway/startup/platform_gateway.rs
+++ b/src/gateway/startup/platform_gateway.rs
@@ -6,13 +6,12 @@
 use crate::gateway::discovery::{EndpointWatcher, watch_wait};
 use crate::gateway::error::RunError;
 use crate::gateway::node_registry::NodeRegistry;
-use crate::gateway::platform_frontend::{PlatformFrontend, PlatformTransport};
+use crate::gateway::platform_frontend::{OpenRequestIds, PlatformFrontend, PlatformTransport};
 use crate::gateway::reload::reload_discovery_address;
 use crate::gateway::signals::hangup_signal;
 use crate::routing::RequestRouter;
 use crate::scheduler::SchedulerSettings;
 use crate::transport::{self, ConnectionLimits, LifecyclePhase};
-use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,18 +25,18 @@
 ///
 /// # Errors
 ///
-/// Where the SIGHUP handler or the listener cannot be had.
+/// Returns an error if the SIGHUP handler cannot be installed, or the address cannot be bound.
 pub async fn start(config: PlatformConfig, context: GatewayContext) -> Result<RunningTasks, RunError> {
     let GatewayContext { shutdown, metrics, phase, clock } = context;
     let hangup = hangup_signal()?;
     shutdown.extend_service_period(longest_deadline(&config.settings));
-    let ConnectionBudget { clients, nodes } = connection_budget(&config);
-    let nodes = NodeRegistry::new(nodes, config.zones);
+    let ConnectionBudget { clients, nodes: pool_limits } = connection_budget(&config);
+    let nodes = NodeRegistry::new(pool_limits, config.zones);
     let overload_retry_after_us = config.settings.max_retry_after_us;
     let watch_wait = watch_wait(config.settings.gateway_index, config.settings.gateway_count);
     let (router_actor, router) =
         RequestRouter::new(config.settings, config.seed, clock, metrics.requests.clone());
-    let (poll_sender, poll_requests) = mpsc::unbounded_channel();
+    let (watch_requests, watch_request_receiver) = mpsc::unbounded_channel();
     let (address_sender, discovery_address) = watch::channel(config.discovery);
     let watcher = EndpointWatcher {
         discovery_address,
@@ -47,9 +46,9 @@
         router: router.clone(),
         metrics: metrics.clone(),
     };
-    let transport = PlatformTransport { router: router.clone(), nodes, watch: poll_sender };
+    let transport = PlatformTransport { router: router.clone(), nodes, watch_requests };
     let actors = vec![
-        spawn_local(watcher.run(poll_requests)),
+        spawn_local(watcher.run(watch_request_receiver)),
         spawn_local(router_actor.run(transport)),
         spawn_local(reload_discovery_address(hangup, address_sender, metrics.clone())),
     ];
@@ -61,10 +60,10 @@
         phase: phase.clone(),
         overload_retry_after_us,
         shutdown,
-        open_ids: RefCell::default(),
+        open_ids: OpenRequestIds::default(),
     });
     let server = start_server(config.listen, clients, phase, frontend).await?;
-    Ok(RunningTasks { servers: vec![server], actors, _inventory: None })
+    Ok(RunningTasks { servers: vec![server], actors })
 }
 
 fn longest_deadline(settings: &SchedulerSettings) -> Duration {
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants.rs
@@ -1,5 +1,6 @@
 //! The tenants of the object API: their plans, volumes, racks and tokens.
 
+use super::hashing::{HASH_LEN, hash_fields};
 use crate::protocol::admin::{TenantDefinition, TenantView};
 use crate::protocol::inventory::is_plain_name;
 use crate::protocol::object::is_valid_bucket_name;
@@ -11,12 +12,9 @@
 /// Volume names that would hide a path of the gateway's own.
 const RESERVED_VOLUME_NAMES: [&str; 1] = ["health"];
 
-/// The longest name of a tenant, in bytes; [`TenantFault::Name`] states it too.
+/// The longest name of a tenant, in bytes; [`TenantFault::InvalidName`] states it too.
 const MAX_NAME_LEN: usize = 40;
 
-/// A SHA-256 hash, in bytes.
-const HASH_LEN: usize = 32;
-
 /// The hash that is stored of a token.
 pub type TokenHash = [u8; HASH_LEN];
 
@@ -39,21 +37,21 @@
 /// What is wrong with a tenant's definition.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TenantFault {
-    /// The tenant's name.
+    /// The tenant's name is invalid.
     #[error("a name is 1 to 40 lower-case letters, digits or hyphens")]
-    Name,
+    InvalidName,
     /// No plan has this name.
     #[error("unknown plan '{0}'")]
     UnknownPlan(String),
-    /// The name of a volume.
+    /// The name of a volume is invalid.
     #[error("'{0}' is not allowed as a volume's name")]
-    VolumeName(String),
+    InvalidVolumeName(String),
     /// There is no rack, or one has an invalid name.
     #[error("racks must name one rack or more")]
-    Racks,
+    InvalidRacks,
     /// The token's hash cannot be parsed.
     #[error("token_sha256 must be 64 hex digits")]
-    TokenHash,
+    InvalidTokenHash,
     /// The token identifies another tenant.
     #[error("another tenant has the same token")]
     TokenInUse,
@@ -73,16 +71,6 @@
     bytes.collect::<Option<Vec<u8>>>()?.try_into().ok()
 }
 
-/// Hashes fields, which their lengths keep apart.
-pub fn hash_fields(fields: &[&str]) -> [u8; HASH_LEN] {
-    let mut hash = Sha256::new();
-    for field in fields {
-        hash.update((field.len() as u64).to_be_bytes());
-        hash.update(field.as_bytes());
-    }
-    hash.finalize().into()
-}
-
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
@@ -102,7 +90,7 @@
     /// and object. Every gateway finds the same rack, and when a rack is removed only its own objects
     /// migrate.
     pub fn rack(&self, bucket: &str, key: &str) -> Option<&String> {
-        self.racks.iter().max_by_key(|rack| hash_fields(&[rack, &self.name, bucket, key]))
+        self.racks.iter().max_by_key(|rack| hash_fields(&[rack.as_str(), &self.name, bucket, key]))
     }
 }
 
@@ -118,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// If a definition is invalid, or a tenant is defined twice.
+    /// Returns an error if a definition is invalid, or a tenant is defined twice.
     pub fn new(plans: Vec<String>, definitions: Vec<TenantDefinition>) -> Result<Self, TenantError> {
         let registry = TenantRegistry { plans: Rc::new(plans), tenants: Rc::default() };
         for definition in definitions {
@@ -134,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// If the definition is invalid; then nothing changes.
+    /// Returns an error if the definition is invalid; then nothing changes.
     pub fn put(&self, definition: TenantDefinition) -> Result<(), TenantError> {
         let name = definition.name.clone();
         let tenant = self
@@ -147,18 +135,18 @@
     fn validate(&self, definition: TenantDefinition) -> Result<Tenant, TenantFault> {
         let TenantDefinition { name, plan, volumes, racks, token_sha256 } = definition;
         if !is_tenant_name(&name) {
-            return Err(TenantFault::Name);
+            return Err(TenantFault::InvalidName);
         }
         let Some(plan) = self.plans.iter().position(|known| *known == plan) else {
             return Err(TenantFault::UnknownPlan(plan));
         };
         if let Some(volume) = volumes.iter().find(|volume| !is_volume_name(volume)) {
-            return Err(TenantFault::VolumeName(volume.clone()));
+            return Err(TenantFault::InvalidVolumeName(volume.clone()));
         }
         if racks.is_empty() || !racks.iter().all(|rack| is_plain_name(rack)) {
-            return Err(TenantFault::Racks);
+            return Err(TenantFault::InvalidRacks);
         }
-        let token = parse_token_hash(&token_sha256).ok_or(TenantFault::TokenHash)?;
+        let token = parse_token_hash(&token_sha256).ok_or(TenantFault::InvalidTokenHash)?;
         if self.tenants.borrow().values().any(|other| other.token == token && other.name != name) {
             return Err(TenantFault::TokenInUse);
         }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Where no operation has this path, or none with this path has this method.
+/// Returns an error if no operation has this path, or none with this path has this method.
 pub fn decode(method: &str, path: &str) -> Result<AdminRequest, AdminRequestError> {
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     Ok(match (method, segments.as_slice()) {
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -43,19 +43,19 @@
 pub enum RequestError {
     /// Neither a read nor a write.
     #[error("the method is neither GET nor PUT")]
-    Method,
+    UnsupportedMethod,
     /// The method is not that of the class.
     #[error("reads use GET, writes use PUT")]
-    MethodOfClass,
+    MethodMismatch,
     /// The body's length is stated ambiguously: another request could be smuggled in it.
     #[error("the body's length is to be stated once, or its chunks tell it")]
-    Length,
+    AmbiguousLength,
     /// A header is missing, repeated or malformed.
     #[error("{0} is missing or malformed")]
-    Header(&'static str),
+    InvalidHeader(&'static str),
     /// The path names no block.
     #[error("the path does not end in 16 hex digits")]
-    Block,
+    InvalidBlock,
     /// The settings have no such class.
     #[error("unknown Req-Kind")]
     UnknownClass,
@@ -90,7 +90,8 @@
 ///
 /// # Errors
 ///
-/// Where a part of the head is missing, malformed or ambiguous, or names an unknown class or plan.
+/// Returns an error if a part of the head is missing, malformed or ambiguous, or names an unknown class or
+/// plan.
 pub fn decode(
     head: &Parts,
     conflicting_length: bool,
@@ -98,7 +99,7 @@
 ) -> Result<ParsedRequest, RequestError> {
     check_method(head)?;
     if conflicting_length || !has_supported_coding(head) {
-        return Err(RequestError::Length);
+        return Err(RequestError::AmbiguousLength);
     }
     single_header(&head.headers, "req-id")?;
     let block = parse_block(head)?;
@@ -106,14 +107,15 @@
     let plan = parse_plan(head, names)?;
     let timeout_us = parse_deadline(head)?;
     let io_info = IoInfo::parse(single_header(&head.headers, "io-info")?);
-    let IoInfo { volume, volume_gateways, shard, units } = io_info.ok_or(RequestError::Header("io-info"))?;
+    let IoInfo { volume, volume_gateways, shard, units } =
+        io_info.ok_or(RequestError::InvalidHeader("io-info"))?;
     Ok(ParsedRequest { class, plan, volume, volume_gateways, block, shard, units, timeout_us })
 }
 
 fn check_method(head: &Parts) -> Result<(), RequestError> {
     match head.method {
         Method::GET | Method::PUT => Ok(()),
-        _ => Err(RequestError::Method),
+        _ => Err(RequestError::UnsupportedMethod),
     }
 }
 
@@ -130,7 +132,7 @@
 
 fn parse_block(head: &Parts) -> Result<BlockId, RequestError> {
     let last_segment = head.uri.path().rsplit('/').next();
-    last_segment.and_then(parse_hex).map(BlockId).ok_or(RequestError::Block)
+    last_segment.and_then(parse_hex).map(BlockId).ok_or(RequestError::InvalidBlock)
 }
 
 fn parse_class(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
@@ -138,7 +140,7 @@
     let class = names.classes.iter().position(|class| class == name).ok_or(RequestError::UnknownClass)?;
     let is_write = head.method == Method::PUT;
     if names.writes.get(class).is_some_and(|writes| *writes != is_write) {
-        return Err(RequestError::MethodOfClass);
+        return Err(RequestError::MethodMismatch);
     }
     if names.has_idempotency_key.get(class) == Some(&true) {
         single_header(&head.headers, "idempotency-key")?;
@@ -153,7 +155,7 @@
 
 fn parse_deadline(head: &Parts) -> Result<u64, RequestError> {
     let name = "req-deadline";
-    parse_timeout(single_header(&head.headers, name)?).ok_or(RequestError::Header(name))
+    parse_timeout(single_header(&head.headers, name)?).ok_or(RequestError::InvalidHeader(name))
 }
 
 /// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds) to microseconds; none if it is
@@ -172,8 +174,8 @@
 fn single_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
-        (Some(value), None) => value.to_str().map_err(|_| RequestError::Header(name)),
-        _ => Err(RequestError::Header(name)),
+        (Some(value), None) => value.to_str().map_err(|_| RequestError::InvalidHeader(name)),
+        _ => Err(RequestError::InvalidHeader(name)),
     }
 }
 
--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The end of the year 9999, in Unix time and milliseconds.
-pub const LATEST_MS: u64 = 253_402_300_799_000;
+/// The latest start of a process that is accepted: the end of the year 9999, in Unix time and milliseconds.
+pub const MAX_START_MS: u64 = 253_402_300_799_000;
 
 #[derive(Deserialize)]
 struct WireList {
@@ -82,12 +82,26 @@
     pub endpoints: Vec<EndpointRecord>,
 }
 
+/// Why an endpoint list cannot be decoded.
+#[derive(Debug, thiserror::Error)]
+pub enum EndpointListError {
+    /// It is not JSON, or not that of a list.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// An endpoint has a status that is not defined.
+    #[error("unknown status '{0}'")]
+    UnknownStatus(String),
+    /// An endpoint's process started later than [`MAX_START_MS`], in Unix time and milliseconds.
+    #[error("since_ms {0} is beyond reason")]
+    StartTooLate(u64),
+}
+
 /// Decodes a list, which is valid as a whole or not at all.
 ///
 /// # Errors
 ///
-/// Where the JSON is malformed, a status is unknown, or a start lies beyond [`LATEST_MS`].
-pub fn decode(json: &[u8]) -> Result<EndpointList, serde_json::Error> {
+/// Returns an error if the JSON is malformed, a status is unknown, or a start lies beyond [`MAX_START_MS`].
+pub fn decode(json: &[u8]) -> Result<EndpointList, EndpointListError> {
     let list: WireList = serde_json::from_slice(json)?;
     Ok(EndpointList {
         version: list.index,
@@ -96,16 +110,16 @@
     })
 }
 
-fn decode_endpoint(wire: WireEndpoint) -> Result<EndpointRecord, serde_json::Error> {
+fn decode_endpoint(wire: WireEndpoint) -> Result<EndpointRecord, EndpointListError> {
     let state = match wire.status.as_str() {
         "Ready" => EndpointState::Ready,
         "Terminating" => EndpointState::Draining,
         "Gone" => EndpointState::Removed,
-        other => return Err(serde::de::Error::custom(format!("unknown status '{other}'"))),
+        other => return Err(EndpointListError::UnknownStatus(other.to_owned())),
     };
     // The scheduler adds to this time: a larger one could overflow there.
-    if wire.since_ms > LATEST_MS {
-        return Err(serde::de::Error::custom(format!("since_ms {} is beyond reason", wire.since_ms)));
+    if wire.since_ms > MAX_START_MS {
+        return Err(EndpointListError::StartTooLate(wire.since_ms));
     }
     Ok(EndpointRecord {
         name: wire.name,
--- a/src/protocol/inventory/csv.rs
+++ b/src/protocol/inventory/csv.rs
@@ -1,6 +1,6 @@
 //! Inventories as comma-separated values.
 
-use super::{Field, Fields, InventoryError, Row};
+use super::{Field, Fields, InventoryFault, Row};
 
 /// The columns that every file must have.
 const REQUIRED_COLUMNS: [&str; 3] = ["name", "address", "rack"];
@@ -9,8 +9,8 @@
 ///
 /// # Errors
 ///
-/// Where columns are missing, or at the first row that is malformed.
-pub fn decode_rows(text: &str) -> Result<Vec<Row>, Vec<InventoryError>> {
+/// Returns an error if columns are missing or a row is malformed: that of the first such row.
+pub fn decode_rows(text: &str) -> Result<Vec<Row>, Vec<InventoryFault>> {
     let mut reader =
         csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
     let header = reader.headers().map_err(malformed)?.clone();
@@ -21,12 +21,12 @@
         .collect()
 }
 
-fn check_columns(header: &csv::StringRecord) -> Result<(), Vec<InventoryError>> {
+fn check_columns(header: &csv::StringRecord) -> Result<(), Vec<InventoryFault>> {
     let is_missing = |column: &&str| !header.iter().any(|present| present == *column);
     let errors: Vec<_> = REQUIRED_COLUMNS
         .into_iter()
         .filter(is_missing)
-        .map(|column| InventoryError::new(1, column, "the header has no such column"))
+        .map(|column| InventoryFault::new(1, column, "the header has no such column"))
         .collect();
     if errors.is_empty() { Ok(()) } else { Err(errors) }
 }
@@ -43,8 +43,8 @@
     Row { name, line, fields }
 }
 
-fn malformed(error: csv::Error) -> Vec<InventoryError> {
-    vec![InventoryError::new(line_of(error.position()), "row", error.to_string())]
+fn malformed(error: csv::Error) -> Vec<InventoryFault> {
+    vec![InventoryFault::new(line_of(error.position()), "row", error.to_string())]
 }
 
 fn line_of(position: Option<&csv::Position>) -> usize {
--- a/src/protocol/inventory/mod.rs
+++ b/src/protocol/inventory/mod.rs
@@ -38,7 +38,7 @@
 /// One fault of an inventory file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, serde::Serialize)]
 #[error("line {line}, {field}: {message}")]
-pub struct InventoryError {
+pub struct InventoryFault {
     /// The line, from 1.
     pub line: usize,
     /// The field.
@@ -47,9 +47,9 @@
     pub message: String,
 }
 
-impl InventoryError {
-    fn new(line: usize, field: &str, message: impl Into<String>) -> InventoryError {
-        InventoryError { line, field: field.into(), message: message.into() }
+impl InventoryFault {
+    fn new(line: usize, field: &str, message: impl Into<String>) -> InventoryFault {
+        InventoryFault { line, field: field.into(), message: message.into() }
     }
 }
 
@@ -91,8 +91,8 @@
 ///
 /// # Errors
 ///
-/// Where the file is malformed, or its nodes are not valid: then all their faults are listed.
-pub fn decode(text: &str, format: Format) -> Result<Vec<InventoryNode>, Vec<InventoryError>> {
+/// Returns an error if the file is malformed, or its nodes are not valid: then all their faults are listed.
+pub fn decode(text: &str, format: Format) -> Result<Vec<InventoryNode>, Vec<InventoryFault>> {
     let rows = match format {
         Format::Csv => csv::decode_rows(text)?,
         Format::Yaml => yaml::decode_rows(text).map_err(|error| vec![error])?,
--- a/src/protocol/inventory/validation.rs
+++ b/src/protocol/inventory/validation.rs
@@ -1,7 +1,7 @@
 //! What every inventory must satisfy, in whatever format it is written.
 
-use super::{Field, InventoryError, InventoryNode, Row};
-use crate::protocol::endpoint_list::LATEST_MS;
+use super::{Field, InventoryFault, InventoryNode, Row};
+use crate::protocol::endpoint_list::MAX_START_MS;
 use crate::scheduler::EndpointState;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,11 +19,12 @@
 ///
 /// # Errors
 ///
-/// Where the file names no node, or any node is not valid: then the faults of all nodes are listed.
-pub fn validate(rows: Vec<Row>) -> Result<Vec<InventoryNode>, Vec<InventoryError>> {
+/// Returns an error if the file names no node, or any node is not valid: then the faults of all nodes are
+/// listed.
+pub fn validate(rows: Vec<Row>) -> Result<Vec<InventoryNode>, Vec<InventoryFault>> {
     let mut validator = Validator::default();
     if rows.is_empty() {
-        validator.errors.push(InventoryError::new(1, "hosts", "the inventory names no host"));
+        validator.errors.push(InventoryFault::new(1, "hosts", "the inventory names no host"));
     }
     let nodes = rows.iter().filter_map(|row| validator.validate_node(row)).collect();
     if validator.errors.is_empty() { Ok(nodes) } else { Err(validator.errors) }
@@ -34,7 +35,7 @@
 struct Validator {
     names: BTreeSet<String>,
     addresses: BTreeSet<SocketAddr>,
-    errors: Vec<InventoryError>,
+    errors: Vec<InventoryFault>,
 }
 
 impl Validator {
@@ -57,43 +58,43 @@
         })
     }
 
-    fn record_error<T>(&mut self, result: Result<T, InventoryError>) -> Option<T> {
+    fn record_error<T>(&mut self, result: Result<T, InventoryFault>) -> Option<T> {
         result.map_err(|error| self.errors.push(error)).ok()
     }
 
-    fn validate_name(&mut self, row: &Row) -> Result<String, InventoryError> {
+    fn validate_name(&mut self, row: &Row) -> Result<String, InventoryFault> {
         let name = &row.name;
         if !is_plain_name(name) {
-            return Err(InventoryError::new(row.line, "name", format!("'{name}' is not a plain name")));
+            return Err(InventoryFault::new(row.line, "name", format!("'{name}' is not a plain name")));
         }
         if !self.names.insert(name.clone()) {
-            return Err(InventoryError::new(row.line, "name", format!("'{name}' is there twice")));
+            return Err(InventoryFault::new(row.line, "name", format!("'{name}' is there twice")));
         }
         Ok(name.clone())
     }
 
-    fn validate_address(&mut self, row: &Row) -> Result<SocketAddr, InventoryError> {
+    fn validate_address(&mut self, row: &Row) -> Result<SocketAddr, InventoryFault> {
         let Field { value, line } = field(row, "address");
         let Some(address) = value.parse::<SocketAddr>().ok().filter(|address| address.port() != 0) else {
             let message = format!("'{value}' is not an IP address and port");
-            return Err(InventoryError::new(line, "address", message));
+            return Err(InventoryFault::new(line, "address", message));
         };
         if !self.addresses.insert(address) {
-            return Err(InventoryError::new(line, "address", format!("'{address}' is there twice")));
+            return Err(InventoryFault::new(line, "address", format!("'{address}' is there twice")));
         }
         Ok(address)
     }
 }
 
-fn validate_rack(row: &Row) -> Result<String, InventoryError> {
+fn validate_rack(row: &Row) -> Result<String, InventoryFault> {
     let Field { value: rack, line } = field(row, "rack");
     if !is_plain_name(&rack) {
-        return Err(InventoryError::new(line, "rack", format!("'{rack}' is not a plain name")));
+        return Err(InventoryFault::new(line, "rack", format!("'{rack}' is not a plain name")));
     }
     Ok(rack)
 }
 
-fn validate_state(row: &Row) -> Result<EndpointState, InventoryError> {
+fn validate_state(row: &Row) -> Result<EndpointState, InventoryFault> {
     let Field { value, line } = field(row, "state");
     match value.as_str() {
         "" | "ready" => Ok(EndpointState::Ready),
@@ -101,22 +102,22 @@
         "gone" => Ok(EndpointState::Removed),
         other => {
             let message = format!("'{other}' is not ready, draining or gone");
-            Err(InventoryError::new(line, "state", message))
+            Err(InventoryFault::new(line, "state", message))
         }
     }
 }
 
 /// When the node's process last started, in Unix time and microseconds; none if the file states 0 or nothing.
-fn validate_start(row: &Row) -> Result<Option<u64>, InventoryError> {
+fn validate_start(row: &Row) -> Result<Option<u64>, InventoryFault> {
     let Field { value, line } = field(row, "since_ms");
     if value.is_empty() {
         return Ok(None);
     }
     match value.parse::<u64>() {
-        Ok(since_ms) if since_ms <= LATEST_MS => Ok((since_ms > 0).then_some(since_ms * 1_000)),
+        Ok(since_ms) if since_ms <= MAX_START_MS => Ok((since_ms > 0).then_some(since_ms * 1_000)),
         _ => {
             let message = format!("'{value}' is not a time in milliseconds");
-            Err(InventoryError::new(line, "since_ms", message))
+            Err(InventoryFault::new(line, "since_ms", message))
         }
     }
 }
--- a/src/protocol/inventory/yaml.rs
+++ b/src/protocol/inventory/yaml.rs
@@ -1,6 +1,6 @@
 //! Inventories as Ansible writes them: groups with hosts, vars and children.
 
-use super::{Field, Fields, InventoryError, Row};
+use super::{Field, Fields, InventoryFault, Row};
 use saphyr::{LoadableYamlNode, MarkedYaml, Scalar, YamlData};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -12,10 +12,10 @@
 ///
 /// # Errors
 ///
-/// At the first place that is malformed.
-pub fn decode_rows(text: &str) -> Result<Vec<Row>, InventoryError> {
+/// Returns an error if the file is malformed: that of the first such place.
+pub fn decode_rows(text: &str) -> Result<Vec<Row>, InventoryFault> {
     let documents = MarkedYaml::load_from_str(text)
-        .map_err(|error| InventoryError::new(error.marker().line(), "document", error.to_string()))?;
+        .map_err(|error| InventoryFault::new(error.marker().line(), "document", error.to_string()))?;
     let mut memberships = Vec::new();
     for document in &documents {
         for group in decode_mapping(document, "document")? {
@@ -42,7 +42,7 @@
     depth: usize,
     inherited: &Fields,
     memberships: &mut Vec<Membership>,
-) -> Result<(), InventoryError> {
+) -> Result<(), InventoryFault> {
     let parts = decode_mapping(group.value, &group.name)?;
     check_group_keys(&group.name, &parts)?;
     let part = |key: &str| parts.iter().find(|part| part.name == key).map(|part| part.value);
@@ -64,11 +64,11 @@
     Ok(())
 }
 
-fn check_group_keys(group: &str, parts: &[Entry]) -> Result<(), InventoryError> {
+fn check_group_keys(group: &str, parts: &[Entry]) -> Result<(), InventoryFault> {
     match parts.iter().find(|part| !GROUP_KEYS.contains(&part.name.as_str())) {
         Some(unknown) => {
             let message = format!("group {group} may have hosts, vars and children only");
-            Err(InventoryError::new(unknown.line, &unknown.name, message))
+            Err(InventoryFault::new(unknown.line, &unknown.name, message))
         }
         None => Ok(()),
     }
@@ -114,11 +114,11 @@
 }
 
 /// The entries of a mapping; a null counts as an empty one.
-fn decode_mapping<'a>(node: &'a MarkedYaml<'a>, field: &str) -> Result<Vec<Entry<'a>>, InventoryError> {
+fn decode_mapping<'a>(node: &'a MarkedYaml<'a>, field: &str) -> Result<Vec<Entry<'a>>, InventoryFault> {
     match &node.data {
         YamlData::Mapping(map) => map.iter().map(|(key, value)| decode_entry(key, value, field)).collect(),
         YamlData::Value(Scalar::Null) => Ok(Vec::new()),
-        _ => Err(InventoryError::new(node.span.start.line(), field, "must be a mapping")),
+        _ => Err(InventoryFault::new(node.span.start.line(), field, "must be a mapping")),
     }
 }
 
@@ -126,15 +126,15 @@
     key: &'a MarkedYaml<'a>,
     value: &'a MarkedYaml<'a>,
     field: &str,
-) -> Result<Entry<'a>, InventoryError> {
+) -> Result<Entry<'a>, InventoryFault> {
     let line = key.span.start.line();
     let name =
-        decode_scalar(key).ok_or_else(|| InventoryError::new(line, field, "a name must be plain text"))?;
+        decode_scalar(key).ok_or_else(|| InventoryFault::new(line, field, "a name must be plain text"))?;
     Ok(Entry { name, line, value })
 }
 
 /// The variables of a group or host; those that are not scalars belong to other tools and are ignored.
-fn decode_vars(node: &MarkedYaml, field: &str) -> Result<Fields, InventoryError> {
+fn decode_vars(node: &MarkedYaml, field: &str) -> Result<Fields, InventoryFault> {
     let to_field =
         |Entry { name, line, value }: Entry| Some((name, Field { value: decode_scalar(value)?, line }));
     Ok(decode_mapping(node, field)?.into_iter().filter_map(to_field).collect())
--- a/src/protocol/object/node_request.rs
+++ b/src/protocol/object/node_request.rs
@@ -57,7 +57,7 @@
             headers,
             body,
             range,
-            may_stream: matches!(request.operation, Operation::Read { head: false, .. }),
+            may_stream: matches!(request.operation, Operation::Read { head_only: false, .. }),
         }
     }
 
@@ -91,8 +91,8 @@
 
 fn method_of(operation: &Operation) -> Method {
     match operation {
-        Operation::Read { head: false, .. } | Operation::ListParts { .. } => Method::GET,
-        Operation::Read { head: true, .. } => Method::HEAD,
+        Operation::Read { head_only: false, .. } | Operation::ListParts { .. } => Method::GET,
+        Operation::Read { head_only: true, .. } => Method::HEAD,
         Operation::Put | Operation::UploadPart { .. } => Method::PUT,
         Operation::Delete | Operation::AbortUpload { .. } => Method::DELETE,
         Operation::InitiateUpload | Operation::CompleteUpload { .. } => Method::POST,
--- a/src/protocol/object/request.rs
+++ b/src/protocol/object/request.rs
@@ -18,7 +18,7 @@
     /// Read an object, a range of it, or only its head.
     Read {
         /// Whether the response goes without the body.
-        head: bool,
+        head_only: bool,
         /// The range, if exactly one is stated and well-formed; otherwise the response is the complete
         /// object.
         range: Option<ByteRange>,
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 ///
-/// Where the path, the query or a header is malformed, or the operation is not offered.
+/// Returns an error if the path, the query or a header is malformed, or the operation is not offered.
 pub fn decode(head: &Parts) -> Result<ObjectRequest, ApiError> {
     let (bucket, key) = decode_path(head.uri.path())?;
     check_body_framing(&head.headers)?;
@@ -197,10 +197,10 @@
     let Query { has_uploads, upload_id, part_number, paging } = query;
     match (&head.method, has_uploads, upload_id, part_number) {
         (&Method::GET, false, None, None) => {
-            Ok(Operation::Read { head: false, range: single_range(&head.headers) })
+            Ok(Operation::Read { head_only: false, range: single_range(&head.headers) })
         }
         (&Method::HEAD, false, None, None) => {
-            Ok(Operation::Read { head: true, range: single_range(&head.headers) })
+            Ok(Operation::Read { head_only: true, range: single_range(&head.headers) })
         }
         (&Method::PUT, false, None, None) if head.headers.contains_key("x-amz-copy-source") => {
             Err(ApiError::not_implemented())
--- a/src/protocol/object/xml.rs
+++ b/src/protocol/object/xml.rs
@@ -129,9 +129,18 @@
     encode("Error", &wire)
 }
 
-/// Decodes code and message of a storage node's error response.
-pub fn decode_error(body: &[u8]) -> Option<(String, String)> {
-    decode::<WireError>(body).map(|error| (error.code, error.message))
+/// What a storage node's error response states.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ErrorBody {
+    /// S3's code of the error.
+    pub code: String,
+    /// The error in words.
+    pub message: String,
+}
+
+/// Decodes a storage node's error response.
+pub fn decode_error(body: &[u8]) -> Option<ErrorBody> {
+    decode::<WireError>(body).map(|WireError { code, message, .. }| ErrorBody { code, message })
 }
 
 /// Encodes the response to a client that began an upload.
@@ -154,8 +163,8 @@
 ///
 /// # Errors
 ///
-/// Where the XML is malformed, names no part, or names parts out of bounds or order.
-pub fn decode_complete(body: &[u8]) -> Result<Vec<CompletePart>, ApiError> {
+/// Returns an error if the XML is malformed, names no part, or names parts out of bounds or order.
+pub fn decode_completion_request(body: &[u8]) -> Result<Vec<CompletePart>, ApiError> {
     let WireComplete { parts } = decode(body).ok_or_else(ApiError::malformed_xml)?;
     if parts.is_empty() || parts.iter().any(|part| !(1..=MAX_PART_NUMBER).contains(&part.number)) {
         return Err(ApiError::malformed_xml());
@@ -167,17 +176,17 @@
 }
 
 /// Encodes the request to a storage node to assemble parts.
-pub fn encode_complete(parts: Vec<CompletePart>) -> String {
+pub fn encode_completion_request(parts: Vec<CompletePart>) -> String {
     encode("CompleteMultipartUpload", &WireComplete { parts })
 }
 
 /// Decodes the entity tag of the assembled object.
-pub fn decode_completed(body: &[u8]) -> Option<String> {
+pub fn decode_completion_result(body: &[u8]) -> Option<String> {
     decode::<WireCompleted>(body).map(|completed| completed.etag)
 }
 
 /// Encodes the response to a client that completed an upload.
-pub fn encode_completed(location: &str, bucket: &str, key: &str, etag: &str) -> String {
+pub fn encode_completion_result(location: &str, bucket: &str, key: &str, etag: &str) -> String {
     let wire = WireCompleted {
         namespace: NAMESPACE.into(),
         location: location.into(),
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -33,7 +33,7 @@
 /// wants nothing forwarded more than 0.1 s after a client has disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a request came.
+/// What the connection knows of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
     /// Whether it is to be served.
@@ -139,16 +139,18 @@
         loop {
             tokio::select! {
                 biased;
-                // A connection that breaks cancels its request by dropping the response future.
+                // hyper is done: the last response is written, or the connection broke. A request still in
+                // flight is cancelled when `connection` is dropped, after lingering (see docs/open.md).
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ConnectionEnd::Finished,
-                // So does one whose client disconnected unnoticed by hyper.
+                // The client disconnected without hyper noticing: `connection` is dropped at once, which
+                // cancels the request.
                 () = poll_fn(|cx| self.poll_client_closed(cx, &mut check_interval)) => {
                     return ConnectionEnd::Abandoned;
                 }
                 _ = phase.wait_for(|phase| *phase == LifecyclePhase::ClosingIdle), if !closing => {
                     closing = true;
-                    // hyper takes a connection for idle when half of a second request has come. That request
-                    // is answered, and its response closes the connection.
+                    // hyper considers a connection idle even if part of its next request has arrived. That
+                    // request is still answered, and its response closes the connection.
                     if !self.slot.is_reading_head() {
                         Pin::new(&mut *connection).graceful_shutdown();
                     }
@@ -176,8 +178,8 @@
     }
 }
 
-/// Closes this side of the connection and reads what is still sent. Guards against a reset that would take
-/// the response from a client that is still sending, such as one whose request was rejected by its head.
+/// Closes this side of the connection and reads what is still sent. Closing a socket with unread input resets
+/// the connection, which could discard the response before the client has read it.
 async fn discard_until_closed(stream: &TcpStream) -> io::Result<()> {
     stream.shutdown_write()?;
     let mut discarded = vec![0; READ_BUFFER_LEN];
--- a/src/transport/client_stream.rs
+++ b/src/transport/client_stream.rs
@@ -20,7 +20,7 @@
 pub(super) const READ_BUFFER_LEN: usize = 16 * 1024;
 /// Space made in the buffer before each read, in bytes.
 const READ_CHUNK_LEN: usize = READ_BUFFER_LEN / 4;
-/// A client that accepts no byte of its response for so long is disconnected.
+/// A client that accepts no byte of its response for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A client's socket, and what has been read from it ahead of hyper. While a request is in progress, hyper
--- a/src/transport/connection_pool.rs
+++ b/src/transport/connection_pool.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// A connection that has brought a response stays unused for so long before it carries the next request. A
+/// A connection that has brought a response stays unused for this long before it carries the next request. A
 /// second response may come some milliseconds late, as the platform says, and nothing in it tells which
 /// request it belongs to: it would be taken for the response to the next one.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
@@ -216,15 +216,15 @@
     };
     match connected {
         Ok(Ok(connection)) => Ok(PooledConnection { connection, last_used: started_at, _permit: permit }),
-        Ok(Err(_)) | Err(_) => Err(ExchangeFailure::ConnectFailed),
+        Ok(Err(_)) | Err(_) => Err(ExchangeFailure::NotDelivered),
     }
 }
 
 /// Whether an idle connection last used before this exchange may lead to the same dead machine: a request
 /// written to it would be lost as well.
 fn casts_doubt_on_idle_connections(event: &ExchangeEvent) -> bool {
-    use ExchangeFailure::{ConnectFailed, ConnectionReset, TimedOut};
-    matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | ConnectFailed))
+    use ExchangeFailure::{ConnectionReset, NotDelivered, TimedOut};
+    matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | NotDelivered))
 }
 
 #[cfg(test)]
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -10,13 +10,13 @@
 /// How long a client may take over the head of a request, from its connection or its first byte. The platform
 /// requires that a client which never ends its head is disconnected within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// An idle connection is closed after so long.
+/// An idle connection is closed after this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// When the table is full, a connection may be evicted once its client has sent nothing for so long.
+/// When the table is full, a connection may be evicted once its client has sent nothing for this long.
 const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// When the table is full, a connection may be evicted once its client has been sending a head for so long.
+/// When the table is full, a connection may be evicted once its client has been sending a head for this long.
 const MIN_HEAD_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(1);
-/// When the table is full, a connection may be evicted once it has been idle for so long.
+/// When the table is full, a connection may be evicted once it has been idle for this long.
 const MIN_IDLE_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -198,8 +198,9 @@
         self.slots.borrow().iter().filter(|slot| slot.state() != ConnectionState::Closing).count()
     }
 
-    /// When the table is full, evicts connections on which nothing has come, then the slowest heads, then as
-    /// many of those that have been idle longest as exceed the capacity, counting one more to come.
+    /// If the table is full, evicts every connection that has stayed silent, and every one that has been
+    /// sending a head, for longer than the limits above; then, while there is no capacity for one more, those
+    /// that have been idle longest.
     pub(super) fn evict_stale(&self) {
         if !self.is_full() {
             return;
--- a/src/transport/exchange.rs
+++ b/src/transport/exchange.rs
@@ -2,7 +2,7 @@
 
 mod runner;
 
-use super::node_connection::ExchangeError;
+use super::node_connection::SendError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame};
@@ -47,7 +47,7 @@
     pub deadline: Instant,
     /// Resolves once it is cancelled.
     pub cancelled: oneshot::Receiver<()>,
-    /// Gives up a response that has begun and of which nothing new has come for so long.
+    /// Gives up a response that has begun and of which nothing new has come for this long.
     pub stall_timeout: Duration,
     /// Which responses are streamed.
     pub streaming: StreamingRule,
@@ -78,8 +78,9 @@
     /// Cancelled or no longer wanted before it was written completely: the node has not begun it, and that
     /// says nothing about the node.
     NotStarted,
-    /// Never written completely: the node has not begun it.
-    ConnectFailed,
+    /// No connection could be opened, or it broke, or the deadline passed, before the request was written
+    /// completely. The node has not started the request.
+    NotDelivered,
     /// The connection broke after the request was written.
     ConnectionReset,
     /// What came back is not a response, or stopped halfway: the request has run, and only this connection is
@@ -91,12 +92,12 @@
     Cancelled,
 }
 
-impl From<ExchangeError> for ExchangeFailure {
-    fn from(error: ExchangeError) -> Self {
+impl From<SendError> for ExchangeFailure {
+    fn from(error: SendError) -> Self {
         match error {
-            ExchangeError::NotSent => ExchangeFailure::ConnectFailed,
-            ExchangeError::ConnectionReset => ExchangeFailure::ConnectionReset,
-            ExchangeError::MalformedResponse => ExchangeFailure::MalformedResponse,
+            SendError::WriteIncomplete => ExchangeFailure::NotDelivered,
+            SendError::ConnectionReset => ExchangeFailure::ConnectionReset,
+            SendError::MalformedResponse => ExchangeFailure::MalformedResponse,
         }
     }
 }
--- a/src/transport/exchange/runner.rs
+++ b/src/transport/exchange/runner.rs
@@ -1,7 +1,7 @@
 //! Runs an exchange on an open connection.
 
 use super::{Exchange, ExchangeEnd, ExchangeEvent, ExchangeFailure, StreamedBody};
-use crate::transport::node_connection::{ExchangeError, NodeConnection};
+use crate::transport::node_connection::{NodeConnection, SendError};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -29,7 +29,7 @@
             let failure = match failure {
                 // Given up before its last byte was written: it never ran.
                 ExchangeFailure::TimedOut if !connection.is_request_written() => {
-                    ExchangeFailure::ConnectFailed
+                    ExchangeFailure::NotDelivered
                 }
                 ExchangeFailure::Cancelled if !connection.is_request_written() => ExchangeFailure::NotStarted,
                 failure => failure,
@@ -67,7 +67,7 @@
     let on_interim = interim_received.clone();
     hyper::ext::on_informational(&mut request, move |_| on_interim.store(true, Ordering::Relaxed));
     let read_activity = connection.reset_read_activity();
-    let mut response = pin!(connection.exchange(request));
+    let mut response = pin!(connection.send_request(request));
     // A head that has begun and does not go on would occupy the request until its deadline.
     let mut stall_deadline: Option<Instant> = None;
     loop {
@@ -106,7 +106,7 @@
         match frame {
             None => return Ok(bytes.freeze()),
             Some(Ok(frame)) => bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data)),
-            Some(Err(error)) => return Err(ExchangeError::from_receive_error(&error).into()),
+            Some(Err(error)) => return Err(SendError::from_receive_error(&error).into()),
         }
         if bytes.len() > exchange.max_body_len {
             return Err(ExchangeFailure::MalformedResponse);
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -33,5 +33,5 @@
 pub use connection_pool::{ConnectionPool, PoolLimits};
 pub use exchange::{Exchange, ExchangeEvent, ExchangeFailure, StreamedBody, StreamingRule};
 pub use lifecycle::LifecyclePhase;
-pub use node_connection::{ExchangeError, NodeConnection};
+pub use node_connection::{NodeConnection, SendError};
 pub use server::{ConnectionLimits, serve};
--- a/src/transport/node_connection.rs
+++ b/src/transport/node_connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1 connection to a storage node.
+//! An HTTP/1 connection to a storage node or to discovery.
 
 mod monitored_stream;
 mod write_progress;
@@ -23,12 +23,12 @@
 /// The head of a response must fit into this, in bytes: one that never ends is given up.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
-/// Why an exchange brought no response.
+/// Why a request brought no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ExchangeError {
+pub enum SendError {
     /// The request's last byte was never written: the node has not begun it.
     #[error("the connection broke before the request was written")]
-    NotSent,
+    WriteIncomplete,
     /// The request was written completely, or may have been.
     #[error("the connection broke after the request was written")]
     ConnectionReset,
@@ -37,10 +37,10 @@
     MalformedResponse,
 }
 
-impl ExchangeError {
+impl SendError {
     /// Classifies an error that came after the request was written.
     pub(super) fn from_receive_error(error: &hyper::Error) -> Self {
-        if is_malformed(error) { ExchangeError::MalformedResponse } else { ExchangeError::ConnectionReset }
+        if is_malformed(error) { SendError::MalformedResponse } else { SendError::ConnectionReset }
     }
 }
 
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Any error of connecting the socket.
+    /// Returns an error if the socket cannot be connected.
     pub async fn connect(address: SocketAddr) -> io::Result<NodeConnection> {
         let stream = Rc::new(TcpStream::connect(address).await?);
         stream.set_nodelay(true)?;
@@ -100,17 +100,17 @@
     ///
     /// # Errors
     ///
-    /// [`ExchangeError`] tells whether the node may have begun the request.
-    pub async fn exchange(
+    /// Returns an error if no response came: [`SendError`] tells whether the node may have begun the request.
+    pub async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, ExchangeError> {
+    ) -> Result<Response<Incoming>, SendError> {
         self.write_progress.start_request(request.body().size_hint().lower() as usize);
         self.sender.try_send_request(request).await.map_err(|failed| {
             if failed.message().is_some() || !self.write_progress.is_complete() {
-                ExchangeError::NotSent
+                SendError::WriteIncomplete
             } else {
-                ExchangeError::from_receive_error(failed.error())
+                SendError::from_receive_error(failed.error())
             }
         })
     }
