--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -6,8 +6,8 @@
 //! The ordinary path (user disengagement-oriented target enforcement, after the paper): each class keeps
 //! recent latencies; a distribution fitted to them gives the mean latency that the class may have, hence how
 //! long a request may be queued (`latency_model`). Queued requests of latency-bound classes are sent
-//! earliest due first, and share a node's slots with background work by a probability, alpha ([`slot_split`],
-//! [`dispatch`]). What departs from that path is marked EXCEPTION; what the platform's rules need is marked
+//! earliest due first, and share a node's slots with background work by a probability, alpha (`slot_split`,
+//! `dispatch`). What departs from that path is marked EXCEPTION; what the platform's rules need is marked
 //! RULE.
 //!
 //! | module | what it decides or keeps |
