--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -1,10 +1,10 @@
 //! The front end for the administration API.
 
-use super::frontend::add_bearer_challenge;
+use super::frontend::{Frontend, add_bearer_challenge};
 use super::inventory::{InventoryCommand, InventoryReadError};
 use super::metrics::GatewayMetrics;
-use super::tenants::{TenantRegistry, TokenHash, hash_token};
-use crate::protocol::admin::{self, AdminRequest, AdminRequestError, NodeView, TenantDefinition};
+use super::tenants::{TenantRegistry, TokenHash};
+use crate::protocol::admin::{self, AdminOperation, AdminRequestError, NodeView, TenantDefinition};
 use crate::protocol::object::bearer_token;
 use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, full_body};
 use http_body_util::{BodyExt, Limited};
@@ -21,7 +21,7 @@
 /// The front end for the administration API.
 pub struct AdminFrontend {
     /// The hash of the administration's token.
-    pub token: TokenHash,
+    pub token_hash: TokenHash,
     /// The tenants.
     pub tenants: TenantRegistry,
     /// Commands to the inventory's actor.
@@ -75,13 +75,8 @@
     }
 }
 
-impl AdminFrontend {
-    /// Answers one request.
-    pub async fn answer(
-        &self,
-        request: Request<Incoming>,
-        context: RequestContext,
-    ) -> Response<ResponseBody> {
+impl Frontend for AdminFrontend {
+    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
         let AdminResponse { status, body } = match context.admission {
             Admission::Admitted => self.serve(request).await,
             Admission::Overloaded => {
@@ -96,7 +91,9 @@
         }
         response
     }
+}
 
+impl AdminFrontend {
     async fn serve(&self, request: Request<Incoming>) -> AdminResponse {
         if !self.is_authorized(request.headers()) {
             let text = "the administration's bearer token is needed";
@@ -109,21 +106,21 @@
     }
 
     fn is_authorized(&self, headers: &HeaderMap) -> bool {
-        bearer_token(headers).is_some_and(|token| hash_token(token) == self.token)
+        bearer_token(headers).is_some_and(|token| TokenHash::of(token) == self.token_hash)
     }
 
-    async fn execute(&self, operation: AdminRequest, body: Incoming) -> AdminResponse {
+    async fn execute(&self, operation: AdminOperation, body: Incoming) -> AdminResponse {
         match operation {
-            AdminRequest::Health => self.health(),
-            AdminRequest::Counters => AdminResponse::ok(json!(self.metrics.by_name())),
-            AdminRequest::Tenants => AdminResponse::ok(json!({"tenants": self.tenants.views()})),
-            AdminRequest::Tenant(name) => self.tenant(&name),
-            AdminRequest::PutTenant(name) => self.put_tenant(name, body).await,
-            AdminRequest::DeleteTenant(name) => self.delete_tenant(&name),
-            AdminRequest::Nodes => self.list_nodes().await,
-            AdminRequest::Drain(name) => self.drain_node(name).await,
-            AdminRequest::Return(name) => self.return_node(name).await,
-            AdminRequest::Reload => self.reload_inventory().await,
+            AdminOperation::ReportHealth => self.health(),
+            AdminOperation::ReportCounters => AdminResponse::ok(json!(self.metrics.by_name())),
+            AdminOperation::ListTenants => AdminResponse::ok(json!({"tenants": self.tenants.views()})),
+            AdminOperation::ShowTenant(name) => self.tenant(&name),
+            AdminOperation::PutTenant(name) => self.put_tenant(name, body).await,
+            AdminOperation::DeleteTenant(name) => self.delete_tenant(&name),
+            AdminOperation::ListNodes => self.list_nodes().await,
+            AdminOperation::DrainNode(name) => self.drain_node(name).await,
+            AdminOperation::ReturnNode(name) => self.return_node(name).await,
+            AdminOperation::ReloadInventory => self.reload_inventory().await,
         }
     }
 
--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -8,8 +8,8 @@
 
 use super::ConfigError;
 use crate::gateway::inventory;
-use crate::gateway::object_frontend::{BodyMemory, ObjectLimits};
-use crate::gateway::tenants::{TenantRegistry, TokenHash, parse_token_hash};
+use crate::gateway::object_limits::{BODY_MEMORY_OVERHEAD, ObjectLimits};
+use crate::gateway::tenants::{TenantRegistry, TokenHash};
 use crate::protocol::inventory::InventoryNode;
 use crate::protocol::object::UploadKey;
 use crate::scheduler::SchedulerSettings;
@@ -30,7 +30,7 @@
     /// Where the administration API listens.
     pub admin_listen: SocketAddr,
     /// The hash of the administration's token.
-    pub admin_token: TokenHash,
+    pub admin_token_hash: TokenHash,
     /// File descriptors that the process may hold.
     pub descriptors: usize,
     /// The memory for all bodies, in bytes.
@@ -76,7 +76,7 @@
 
     fn decode(text: &str, folder: &Path) -> Result<ObjectGatewayConfig, ObjectConfigError> {
         let file = parse(text)?;
-        let admin_token = parse_admin_token(&file.admin)?;
+        let admin_token_hash = parse_admin_token(&file.admin)?;
         validate_object(&file.object)?;
         validate_classes(&file.classes)?;
         validate_plans(&file.plans)?;
@@ -87,7 +87,7 @@
         Ok(ObjectGatewayConfig {
             listen: file.gateway.listen,
             admin_listen: file.admin.listen,
-            admin_token,
+            admin_token_hash,
             descriptors: file.gateway.descriptors,
             body_memory: file.object.body_memory,
             node_idle_timeout: Duration::from_millis(file.object.node_idle_timeout_ms),
@@ -116,7 +116,7 @@
     if !admin.listen.ip().is_loopback() {
         return Err(ObjectConfigError::AdminNotLoopback);
     }
-    parse_token_hash(&admin.token_sha256).ok_or(ObjectConfigError::InvalidAdminTokenHash)
+    TokenHash::parse(&admin.token_sha256).ok_or(ObjectConfigError::InvalidAdminTokenHash)
 }
 
 fn validate_object(object: &ObjectSection) -> Result<(), ObjectConfigError> {
@@ -131,7 +131,7 @@
         return Err(ObjectConfigError::ZeroObjectLimit);
     }
     let longest_body = object.max_body_len.max(object.response_buffer_len);
-    if object.body_memory < longest_body + BodyMemory::MAX_OVERHEAD {
+    if object.body_memory < longest_body + BODY_MEMORY_OVERHEAD {
         return Err(ObjectConfigError::BodyMemoryTooSmall);
     }
     Ok(())
@@ -196,6 +196,7 @@
         unit_len: file.object.unit_len,
         max_units: settings::MAX_REQUEST_UNITS,
         gateway_count: file.gateway.count,
-        deadlines_us: [deadline_us(&file.classes.read), deadline_us(&file.classes.write)],
+        read_deadline_us: deadline_us(&file.classes.read),
+        write_deadline_us: deadline_us(&file.classes.write),
     }
 }
--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -33,6 +33,7 @@
         window_us: write.deduplication_window_ms * 1_000,
     };
     SchedulerSettings {
+        // In the order of `ObjectClass`.
         classes: vec![
             request_class(&file.classes.read, Idempotency::Idempotent),
             request_class(write, write_idempotency),
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -1,10 +1,10 @@
 //! The platform's configuration file.
 
 use super::ConfigError;
-use crate::protocol::client_request::NameTable;
+use crate::protocol::client_request::{NameTable, NamedClass};
 use crate::protocol::endpoint_list::{self, EndpointList};
 use crate::protocol::settings::PlatformSettings;
-use crate::scheduler::{Idempotency, SchedulerSettings};
+use crate::scheduler::{Idempotency, RequestClass, SchedulerSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -120,16 +120,20 @@
     endpoint_list::decode(json.get().as_bytes()).ok()
 }
 
-fn name_table(options: &PlatformSettings, settings: &SchedulerSettings) -> NameTable {
-    let has_key = |idempotency| matches!(idempotency, Idempotency::WithKey { .. });
+fn name_table(platform_settings: &PlatformSettings, settings: &SchedulerSettings) -> NameTable {
+    let writes = platform_settings.writes();
+    let named_class = |(index, (name, class)): (usize, (String, &RequestClass))| NamedClass {
+        name,
+        writes: writes.get(index).copied(),
+        requires_idempotency_key: matches!(class.idempotency, Idempotency::WithKey { .. }),
+    };
+    let classes = platform_settings.class_names().into_iter().zip(&settings.classes);
     NameTable {
-        classes: options.class_names(),
-        plans: options.plan_names(),
-        writes: options.writes(),
-        has_idempotency_key: settings.classes.iter().map(|class| has_key(class.idempotency)).collect(),
+        classes: classes.enumerate().map(named_class).collect(),
+        plans: platform_settings.plan_names(),
     }
 }
 
-fn node_idle_timeout(options: &PlatformSettings) -> Duration {
-    options.node_idle_timeout_us().map_or(DEFAULT_NODE_IDLE_TIMEOUT, Duration::from_micros)
+fn node_idle_timeout(platform_settings: &PlatformSettings) -> Duration {
+    platform_settings.node_idle_timeout_us().map_or(DEFAULT_NODE_IDLE_TIMEOUT, Duration::from_micros)
 }
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -1,14 +1,22 @@
-//! What the front ends have in common: health checks, bodies of requests, and the margin for the way back.
+//! What the front ends have in common: answering requests, health checks, bodies of requests, and the margin for the way
+//! back.
 
-use crate::protocol::client_request;
-use crate::transport::LifecyclePhase;
+use crate::protocol::health;
+use crate::transport::{LifecyclePhase, RequestContext, ResponseBody};
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, WWW_AUTHENTICATE};
+use hyper::{Request, Response};
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
+/// Answers the requests of one listener.
+pub trait Frontend {
+    /// Answers one request.
+    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody>;
+}
+
 /// Subtracted from a client's time for the way back and for this event loop's own delay, in microseconds.
 pub const RESPONSE_MARGIN_US: u64 = 10_000;
 
@@ -29,11 +37,9 @@
     /// A front end exists only once the router has the first endpoint list, so it is ready from its start.
     pub fn for_path(path: &str, phase: &watch::Receiver<LifecyclePhase>) -> Option<Self> {
         match path {
-            client_request::LIVENESS_PATH => Some(HealthStatus::Alive),
-            client_request::READINESS_PATH if *phase.borrow() == LifecyclePhase::Serving => {
-                Some(HealthStatus::Ready)
-            }
-            client_request::READINESS_PATH => Some(HealthStatus::Stopping),
+            health::LIVENESS_PATH => Some(HealthStatus::Alive),
+            health::READINESS_PATH if *phase.borrow() == LifecyclePhase::Serving => Some(HealthStatus::Ready),
+            health::READINESS_PATH => Some(HealthStatus::Stopping),
             _ => None,
         }
     }
--- a/src/gateway/inventory.rs
+++ b/src/gateway/inventory/actor.rs
@@ -1,83 +1,17 @@
-//! The inventory of storage nodes, which takes the place of discovery where an operator runs the gateway: an
-//! actor publishes the file's endpoints and their changes.
+//! The actor that owns the inventory and the operator's drains, and publishes endpoints and their changes.
 
-use super::node_registry::NodeRegistry;
+use super::file::{InventoryReadError, read};
+use super::racks::RackRegistry;
+use crate::gateway::node_registry::NodeRegistry;
 use crate::protocol::admin::NodeView;
 use crate::protocol::endpoint_list::{EndpointRecord, ListKind};
-use crate::protocol::inventory::{self, Format, InventoryFault, InventoryNode};
+use crate::protocol::inventory::InventoryNode;
 use crate::routing::RouterHandle;
-use crate::scheduler::{EndpointState, EndpointUpdate, ShardId};
-use std::cell::RefCell;
+use crate::scheduler::{EndpointState, EndpointUpdate};
 use std::collections::BTreeSet;
-use std::path::{Path, PathBuf};
-use std::rc::Rc;
+use std::path::PathBuf;
 use tokio::sync::{mpsc, oneshot};
 
-/// Why an inventory file cannot be used.
-#[derive(Debug, thiserror::Error)]
-pub enum InventoryReadError {
-    /// The file's name says neither CSV nor YAML.
-    #[error("{path}: the name must end in .csv, .yaml or .yml")]
-    UnknownFormat {
-        /// The file.
-        path: String,
-    },
-    /// The file cannot be read.
-    #[error("{path}: {source}")]
-    Unreadable {
-        /// The file.
-        path: String,
-        /// The system's error.
-        source: std::io::Error,
-    },
-    /// The file's content is invalid.
-    #[error("{path}: {places}", places = join_errors(.errors))]
-    Invalid {
-        /// The file.
-        path: String,
-        /// Every place that is invalid.
-        errors: Vec<InventoryFault>,
-    },
-}
-
-fn join_errors(errors: &[InventoryFault]) -> String {
-    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
-}
-
-/// Reads an inventory file.
-///
-/// # Errors
-///
-/// Returns an error if the file cannot be read, or any part of it is invalid.
-pub fn read(path: &Path) -> Result<Vec<InventoryNode>, InventoryReadError> {
-    let name = path.display().to_string();
-    let Some(format) = Format::from_path(path) else {
-        return Err(InventoryReadError::UnknownFormat { path: name });
-    };
-    match std::fs::read_to_string(path) {
-        Ok(text) => inventory::decode(&text, format)
-            .map_err(|errors| InventoryReadError::Invalid { path: name, errors }),
-        Err(source) => Err(InventoryReadError::Unreadable { path: name, source }),
-    }
-}
-
-/// The racks that have been named, numbered as the scheduler's shards. A rack keeps its number. Clones share
-/// one registry.
-#[derive(Clone, Default)]
-pub struct RackRegistry(Rc<RefCell<Vec<String>>>);
-
-impl RackRegistry {
-    /// The number of a rack; a new rack gets the next one.
-    pub fn shard(&self, rack: &str) -> ShardId {
-        let mut racks = self.0.borrow_mut();
-        let index = racks.iter().position(|known| known == rack).unwrap_or_else(|| {
-            racks.push(rack.into());
-            racks.len() - 1
-        });
-        ShardId(index as u32)
-    }
-}
-
 /// A command to the inventory's actor.
 pub enum InventoryCommand {
     /// Read the file again; replies with the number of storage nodes that it names.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -10,7 +10,7 @@
 //! | started first | `config`, `startup`, `error`, `log` |
 //! | lifecycle | `signals`, `shutdown`, `reload` |
 //! | front ends | `frontend` (shared), `platform_frontend`, `object_frontend`, `admin_frontend` |
-//! | tenants | `tenants`, and `hashing` for the placement of their objects |
+//! | object API | `tenants`, `object_limits`, and `hashing` for the placement of objects |
 //! | storage nodes | `discovery` or `inventory`, then `node_registry`, `node_transport`, `descriptors` |
 //! | metrics | `metrics` |
 
@@ -27,6 +27,7 @@
 mod node_registry;
 mod node_transport;
 mod object_frontend;
+mod object_limits;
 mod platform_frontend;
 mod reload;
 mod shutdown;
@@ -48,7 +49,7 @@
 /// Returns an error if the configuration is missing or invalid, or the gateway cannot run.
 pub fn run_platform_gateway() -> Result<(), GatewayError> {
     let config = PlatformConfig::load()?;
-    startup::run_platform_gateway(config)?;
+    startup::run(|context| startup::platform_gateway::start(config, context))?;
     Ok(())
 }
 
@@ -60,6 +61,6 @@
 /// Returns an error if the configuration is missing or invalid, or the gateway cannot run.
 pub fn run_object_gateway(config_file: &Path) -> Result<(), GatewayError> {
     let config = ObjectGatewayConfig::load(config_file)?;
-    startup::run_object_gateway(config)?;
+    startup::run(|context| startup::object_gateway::start(config, context))?;
     Ok(())
 }
--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -1,7 +1,8 @@
 //! Bodies of requests, and the memory that bodies of requests and responses may occupy in all.
 
-use super::{ObjectFrontend, ObjectLimits, Rejection};
+use super::{ObjectFrontend, Rejection};
 use crate::gateway::frontend::{BodyError, read_body};
+use crate::gateway::object_limits::{BYTES_PER_MEMORY_PERMIT, ObjectLimits};
 use crate::protocol::object::{ApiError, ObjectRequest, Operation};
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -14,9 +15,6 @@
 /// How long a client may take over a body.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Bytes to a permit of [`BodyMemory`].
-const BYTES_PER_PERMIT: u64 = 1024;
-
 /// The memory that bodies may occupy in all.
 pub struct BodyMemory(Arc<Semaphore>);
 
@@ -27,17 +25,14 @@
 }
 
 impl BodyMemory {
-    /// What is reserved for a body beside its own bytes, at most, in bytes: one permit.
-    pub const MAX_OVERHEAD: u64 = BYTES_PER_PERMIT;
-
     /// Memory of this many bytes.
     pub fn new(bytes: u64) -> Self {
-        BodyMemory(Arc::new(Semaphore::new((bytes / BYTES_PER_PERMIT) as usize)))
+        BodyMemory(Arc::new(Semaphore::new((bytes / BYTES_PER_MEMORY_PERMIT) as usize)))
     }
 
     /// Reserves so many bytes, if they are free.
     fn try_reserve(&self, bytes: u64) -> Option<BodyPermit> {
-        let permits = u32::try_from(bytes / BYTES_PER_PERMIT + 1).unwrap_or(u32::MAX);
+        let permits = u32::try_from(bytes / BYTES_PER_MEMORY_PERMIT + 1).unwrap_or(u32::MAX);
         let permit = self.0.clone().try_acquire_many_owned(permits).ok()?;
         Some(BodyPermit { _permit: Arc::new(permit) })
     }
--- a/src/gateway/object_frontend/idempotency.rs
+++ b/src/gateway/object_frontend/idempotency.rs
@@ -2,6 +2,7 @@
 
 use super::routed_request::RoutedRequest;
 use crate::gateway::hashing::hash_fields;
+use crate::protocol::common_headers::IDEMPOTENCY_KEY;
 use crate::protocol::object::Operation;
 use bytes::Bytes;
 
@@ -25,7 +26,7 @@
 }
 
 fn describe_write(routed: &RoutedRequest, request_id: &str) -> String {
-    let client_key = routed.headers.get("idempotency-key").and_then(|value| value.to_str().ok());
+    let client_key = routed.headers.get(IDEMPOTENCY_KEY).and_then(|value| value.to_str().ok());
     match (&routed.request.operation, client_key) {
         (_, Some(given)) => format!("given {given}"),
         (Operation::UploadPart { upload_id, number }, None) => format!("part {upload_id} {number}"),
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -1,12 +1,13 @@
 //! What the router gets of a request: its class, size, shard and deadline.
 
+use super::ObjectFrontend;
 use super::routed_request::RoutedRequest;
-use super::{ObjectClass, ObjectFrontend};
 use crate::gateway::frontend::RESPONSE_MARGIN_US;
 use crate::gateway::hashing::hash_fields;
-use crate::protocol::client_request::parse_timeout;
+use crate::gateway::object_limits::ObjectClass;
+use crate::protocol::common_headers::{DEADLINE, parse_timeout};
 use crate::protocol::object::{ApiError, ObjectRequest, Operation};
-use crate::scheduler::{BlockId, IncomingRequest, RequestId, VolumeId};
+use crate::scheduler::{BlockId, IncomingRequest, VolumeId};
 use bytes::Bytes;
 use hyper::HeaderMap;
 
@@ -21,7 +22,7 @@
         let class = ObjectClass::of(&request.operation);
         let expires_at_us = self.expires_at_us(class, routed)?;
         Ok(IncomingRequest {
-            id: RequestId(0),
+            id: self.router.next_request_id(),
             class: class.index(),
             plan: tenant.plan,
             volume: VolumeId(hash_to_u64(&[&tenant.name, &request.bucket])),
@@ -37,11 +38,12 @@
     /// without it, the class's time counts from the end of the body.
     fn expires_at_us(&self, class: ObjectClass, routed: &RoutedRequest) -> Result<u64, ApiError> {
         let deadline_us = self.limits.deadline_us(class);
-        let stated_us = match client_timeout_us(&routed.headers)? {
-            Some(timeout_us) => routed.received_at_us + timeout_us.min(deadline_us),
-            None => u64::MAX,
-        };
-        Ok(stated_us.min(self.clock.now_us() + deadline_us) - RESPONSE_MARGIN_US)
+        let stated_timeout_us = client_timeout_us(&routed.headers)?;
+        let by_class_us = self.clock.now_us() + deadline_us;
+        let expires_at_us = stated_timeout_us.map_or(by_class_us, |timeout_us| {
+            by_class_us.min(routed.received_at_us + timeout_us.min(deadline_us))
+        });
+        Ok(expires_at_us - RESPONSE_MARGIN_US)
     }
 
     /// The size of a request in the scheduler's units, by the range that it reads or by its body.
@@ -61,7 +63,7 @@
 
 /// How long the client says that it waits, in microseconds.
 fn client_timeout_us(headers: &HeaderMap) -> Result<Option<u64>, ApiError> {
-    let Some(value) = headers.get("req-deadline") else { return Ok(None) };
+    let Some(value) = headers.get(DEADLINE) else { return Ok(None) };
     match value.to_str().ok().and_then(parse_timeout) {
         Some(timeout_us) => Ok(Some(timeout_us)),
         None => Err(ApiError::invalid_argument("Req-Deadline is malformed.")),
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -3,19 +3,18 @@
 mod body;
 mod idempotency;
 mod incoming_request;
-mod limits;
 mod rejection;
 mod response;
 mod routed_request;
 mod transport;
 
 pub use body::BodyMemory;
-pub use limits::{ObjectClass, ObjectLimits};
 pub use transport::{NodeResponse, ObjectPayload, ObjectTransport};
 
-use super::frontend::HealthStatus;
+use super::frontend::{Frontend, HealthStatus};
 use super::inventory::RackRegistry;
 use super::metrics::GatewayMetrics;
+use super::object_limits::ObjectLimits;
 use super::tenants::TenantRegistry;
 use crate::protocol::object::{ApiError, UploadKey, header_value};
 use crate::routing::{Clock, FinalAnswer, RouterHandle};
@@ -54,13 +53,8 @@
     pub next_request_id: Cell<u64>,
 }
 
-impl ObjectFrontend {
-    /// Answers one request.
-    pub async fn answer(
-        &self,
-        request: Request<Incoming>,
-        context: RequestContext,
-    ) -> Response<ResponseBody> {
+impl Frontend for ObjectFrontend {
+    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
         let request_id = self.take_request_id();
         let head_only = request.method() == Method::HEAD;
         let resource = request.uri().path().to_string();
@@ -73,7 +67,9 @@
         response.headers_mut().insert("x-amz-request-id", header_value(request_id));
         response
     }
+}
 
+impl ObjectFrontend {
     fn take_request_id(&self) -> String {
         let number = self.next_request_id.get();
         self.next_request_id.set(number.wrapping_add(1));
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -24,12 +24,12 @@
         return Err(client_error(&head, &body).into());
     }
     let xml = match &routed.request.operation {
-        Operation::InitiateUpload => initiated(&body, routed, upload_key),
-        Operation::CompleteUpload { .. } => completed(&body, &routed.request)?,
-        Operation::ListParts { upload_id, .. } => listing(&body, &routed.request, upload_id),
+        Operation::InitiateUpload => initiation_body(&body, routed, upload_key)?,
+        Operation::CompleteUpload { .. } => completion_body(&body, &routed.request)?,
+        Operation::ListParts { upload_id, .. } => parts_list_body(&body, &routed.request, upload_id)?,
         _ => return Ok(forwarded_response(&head, full_body(body))),
     };
-    let mut response = Response::new(full_body(xml.ok_or_else(ApiError::internal_error)?));
+    let mut response = Response::new(full_body(xml));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/xml"));
     Ok(response)
 }
@@ -53,29 +53,29 @@
     error
 }
 
-fn initiated(body: &Bytes, routed: RoutedRequest, upload_key: &UploadKey) -> Option<String> {
+fn initiation_body(body: &Bytes, routed: RoutedRequest, upload_key: &UploadKey) -> Result<String, ApiError> {
     let RoutedRequest { tenant, request, rack, .. } = routed;
-    let node_id = decode_initiated(body)?;
+    let node_id = decode_initiated(body).ok_or_else(ApiError::internal_error)?;
     let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
     let id = upload_key.sign(path, &Upload { rack, node_id });
-    Some(encode_initiated(&request.bucket, &request.key, &id))
+    Ok(encode_initiated(&request.bucket, &request.key, &id))
 }
 
 /// S3 may begin a completion with status 200 and end it with an error.
-fn completed(body: &Bytes, request: &ObjectRequest) -> Result<Option<String>, ApiError> {
+fn completion_body(body: &Bytes, request: &ObjectRequest) -> Result<String, ApiError> {
     let ObjectRequest { bucket, key, .. } = request;
     if let Some(etag) = decode_completion_result(body) {
-        return Ok(Some(encode_completion_result(&format!("/{bucket}/{key}"), bucket, key, &etag)));
+        return Ok(encode_completion_result(&format!("/{bucket}/{key}"), bucket, key, &etag));
     }
     match decode_error(body) {
         Some(ErrorBody { code, message }) => {
             Err(ApiError::new(StatusCode::INTERNAL_SERVER_ERROR, &code, &message))
         }
-        None => Ok(None),
+        None => Err(ApiError::internal_error()),
     }
 }
 
-fn listing(body: &Bytes, request: &ObjectRequest, upload: &str) -> Option<String> {
-    let listing = decode_listing(body)?;
-    Some(encode_listing(listing, &request.bucket, &request.key, upload))
+fn parts_list_body(body: &Bytes, request: &ObjectRequest, upload_id: &str) -> Result<String, ApiError> {
+    let listing = decode_listing(body).ok_or_else(ApiError::internal_error)?;
+    Ok(encode_listing(listing, &request.bucket, &request.key, upload_id))
 }
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -3,12 +3,13 @@
 use super::idempotency::idempotency_key;
 use super::{ObjectFrontend, Rejection};
 use crate::gateway::tenants::Tenant;
+use crate::protocol::common_headers::{DEFAULT_HOST, IDEMPOTENCY_KEY, REQUEST_ID};
 use crate::protocol::object::{
     ApiError, NodeRequest, ObjectPath, ObjectRequest, Operation, Upload, bearer_token, decode,
     decode_completion_request, encode_completion_request, header_value,
 };
 use bytes::Bytes;
-use hyper::header::{HOST, HeaderMap, HeaderValue};
+use hyper::header::{HOST, HeaderMap};
 use hyper::http::request::Parts;
 use std::rc::Rc;
 
@@ -37,11 +38,11 @@
         let mut node_request =
             NodeRequest::new(&self.request, &self.tenant.name, node_upload, &self.headers, body);
         let headers = &mut node_request.headers;
-        headers.insert(HOST, HeaderValue::from_static("origin.svc"));
-        headers.insert("req-id", header_value(request_id.into()));
+        headers.insert(HOST, DEFAULT_HOST);
+        headers.insert(REQUEST_ID, header_value(request_id.into()));
         if self.request.operation.writes() {
             let key = idempotency_key(self, &node_request.body, request_id);
-            headers.insert("idempotency-key", header_value(key));
+            headers.insert(IDEMPOTENCY_KEY, header_value(key));
         }
         Ok(node_request)
     }
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -1,9 +1,9 @@
 //! Takes the router's attempts to the storage nodes of the object API.
 
 use super::body::BodyPermit;
-use super::limits::ObjectLimits;
 use crate::gateway::node_registry::NodeRegistry;
 use crate::gateway::node_transport::{AttemptPayload, ResponsePolicy, start_attempt};
+use crate::gateway::object_limits::ObjectLimits;
 use crate::protocol::object::NodeRequest;
 use crate::routing::{Attempt, AttemptTransport, RouterHandle};
 use crate::transport::{StreamedBody, StreamingRule};
--- a/src/gateway/object_frontend/limits.rs
+++ b/src/gateway/object_limits.rs
@@ -3,6 +3,11 @@
 use crate::protocol::object::Operation;
 use std::time::Duration;
 
+/// Bytes to a permit of the memory for bodies.
+pub const BYTES_PER_MEMORY_PERMIT: u64 = 1024;
+/// What is reserved for a body beside its own bytes, at most, in bytes: one permit.
+pub const BODY_MEMORY_OVERHEAD: u64 = BYTES_PER_MEMORY_PERMIT;
+
 /// The classes of the object API's requests; the scheduler's settings list them in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectClass {
@@ -40,13 +45,18 @@
     pub max_units: u64,
     /// How many gateways serve the tenants.
     pub gateway_count: usize,
-    /// How long each class's clients wait, in microseconds; indexed by [`ObjectClass`].
-    pub deadlines_us: [u64; 2],
+    /// How long clients wait for reads, in microseconds.
+    pub read_deadline_us: u64,
+    /// How long clients wait for writes, in microseconds.
+    pub write_deadline_us: u64,
 }
 
 impl ObjectLimits {
     /// How long this class's clients wait, in microseconds.
     pub fn deadline_us(&self, class: ObjectClass) -> u64 {
-        self.deadlines_us[class.index()]
+        match class {
+            ObjectClass::Read => self.read_deadline_us,
+            ObjectClass::Write => self.write_deadline_us,
+        }
     }
 }
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -7,12 +7,13 @@
 pub use open_request_id::OpenRequestIds;
 pub use transport::PlatformTransport;
 
-use super::frontend::{HealthStatus, RESPONSE_MARGIN_US, read_body};
+use super::frontend::{Frontend, HealthStatus, RESPONSE_MARGIN_US, read_body};
 use super::metrics::GatewayMetrics;
 use super::shutdown::ShutdownSchedule;
 use crate::protocol::client_request::{self, ForwardedRequest, NameTable, ParsedRequest};
+use crate::protocol::common_headers::REQUEST_ID;
 use crate::routing::{Clock, RouterHandle};
-use crate::scheduler::{IncomingRequest, RequestId};
+use crate::scheduler::IncomingRequest;
 use crate::transport::{Admission, LifecyclePhase, RequestContext, ResponseBody, full_body};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -53,20 +54,17 @@
     pub open_ids: OpenRequestIds,
 }
 
-impl PlatformFrontend {
-    /// Answers one request.
-    pub async fn answer(
-        &self,
-        request: Request<Incoming>,
-        context: RequestContext,
-    ) -> Response<ResponseBody> {
+impl Frontend for PlatformFrontend {
+    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
         let answer = match HealthStatus::for_path(request.uri().path(), &self.phase) {
             Some(health) => health.into(),
             None => self.serve(request, context).await.unwrap_or_else(|rejection| self.reject(rejection)),
         };
         client_request::response(answer.status, answer.body, answer.retry_after_us).map(full_body)
     }
+}
 
+impl PlatformFrontend {
     async fn serve(
         &self,
         request: Request<Incoming>,
@@ -87,12 +85,12 @@
     }
 
     fn register_id(&self, head: &Parts) -> Result<OpenRequestId<'_>, Rejection> {
-        head.headers.get("req-id").and_then(|id| self.open_ids.register(id)).ok_or(Rejection::DuplicateId)
+        head.headers.get(REQUEST_ID).and_then(|id| self.open_ids.register(id)).ok_or(Rejection::DuplicateId)
     }
 
     fn incoming_request(&self, parsed: &ParsedRequest) -> IncomingRequest {
         IncomingRequest {
-            id: RequestId(0),
+            id: self.router.next_request_id(),
             class: parsed.class,
             plan: parsed.plan,
             volume: parsed.volume,
@@ -113,8 +111,8 @@
     /// no more than that leaves.
     fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
         let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
-        let until_shutdown_us = match self.shutdown.answer_by.get() {
-            Some(answer_by) => (answer_by - Instant::now()).as_micros() as u64,
+        let until_shutdown_us = match self.shutdown.answer_by() {
+            Some(answer_by) => answer_by.saturating_duration_since(Instant::now()).as_micros() as u64,
             None => timeout_us,
         };
         self.clock.now_us() + timeout_us.min(until_shutdown_us)
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -38,7 +38,7 @@
     /// How long after the signal connected clients are served.
     service_period: Cell<Duration>,
     /// By when every request is to be answered; none until the gateway is told to stop.
-    pub answer_by: Cell<Option<Instant>>,
+    answer_by: Cell<Option<Instant>>,
 }
 
 impl ShutdownSchedule {
@@ -47,6 +47,11 @@
         ShutdownSchedule { service_period: Cell::new(ACCEPT_PERIOD), answer_by: Cell::new(None) }
     }
 
+    /// By when every request is to be answered; none until the gateway is told to stop.
+    pub fn answer_by(&self) -> Option<Instant> {
+        self.answer_by.get()
+    }
+
     /// Extends the service period towards the SIGKILL of the platform, which depends on the longest deadline
     /// of a request.
     pub fn extend_service_period(&self, longest_deadline: Duration) {
--- a/src/gateway/startup/mod.rs
+++ b/src/gateway/startup/mod.rs
@@ -1,26 +1,25 @@
 //! Starts a gateway: the runtime, and the actors and servers of either kind.
 
-mod object_gateway;
-mod platform_gateway;
+pub mod object_gateway;
+pub mod platform_gateway;
 
-use super::config::object::ObjectGatewayConfig;
-use super::config::platform::PlatformConfig;
 use super::error::RunError;
+use super::frontend::Frontend;
 use super::log;
 use super::metrics::GatewayMetrics;
 use super::shutdown::ShutdownSchedule;
 use super::signals::SignalHandlers;
 use crate::routing::Clock;
-use crate::transport::LifecyclePhase;
+use crate::transport::{self, ConnectionLimits, LifecyclePhase};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
-use tokio::task::{JoinHandle, JoinSet, LocalSet};
+use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 
 /// What a gateway of either kind is started with.
-struct GatewayContext {
+pub struct GatewayContext {
     shutdown: Rc<ShutdownSchedule>,
     metrics: Rc<GatewayMetrics>,
     phase: watch::Receiver<LifecyclePhase>,
@@ -28,33 +27,19 @@
 }
 
 /// The tasks of a running gateway.
-struct RunningTasks {
+pub struct RunningTasks {
     /// Each ends when the shutdown has reached it and its connections are closed.
     servers: Vec<JoinHandle<()>>,
     /// These run for as long as the gateway.
     actors: Vec<JoinHandle<()>>,
 }
 
-/// Serves the platform's protocol until the gateway is told to stop.
+/// Starts a gateway and runs it until SIGTERM or SIGINT, and then until every request is answered.
 ///
 /// # Errors
 ///
 /// Returns an error if the system denies what the gateway needs, or an actor ends.
-pub fn run_platform_gateway(config: PlatformConfig) -> Result<(), RunError> {
-    run(|context| platform_gateway::start(config, context))
-}
-
-/// Serves the object API and the administration API until the gateway is told to stop.
-///
-/// # Errors
-///
-/// Returns an error if the system denies what the gateway needs, or an actor ends.
-pub fn run_object_gateway(config: ObjectGatewayConfig) -> Result<(), RunError> {
-    run(|context| object_gateway::start(config, context))
-}
-
-/// Runs until SIGTERM or SIGINT, and then until every request is answered.
-fn run<F>(start: impl FnOnce(GatewayContext) -> F) -> Result<(), RunError>
+pub fn run<F>(start: impl FnOnce(GatewayContext) -> F) -> Result<(), RunError>
 where
     F: Future<Output = Result<RunningTasks, RunError>>,
 {
@@ -100,6 +85,19 @@
     set.join_next().await;
 }
 
+/// Starts a server that has the front end answer the requests of a listener.
+fn spawn_server<T: Frontend + 'static>(
+    listener: TcpListener,
+    limits: ConnectionLimits,
+    phase: watch::Receiver<LifecyclePhase>,
+    frontend: Rc<T>,
+) -> JoinHandle<()> {
+    spawn_local(transport::serve(listener, limits, phase, move |request, context| {
+        let frontend = frontend.clone();
+        async move { frontend.answer(request, context).await }
+    }))
+}
+
 async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
     let listener = TcpListener::bind(address).await.map_err(|source| RunError::Bind { address, source })?;
     // The address in full: with port 0 the system chooses the port.
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -1,7 +1,7 @@
 //! Starts a gateway that serves the object API and the administration API, and takes storage nodes from an
 //! inventory.
 
-use super::{GatewayContext, RunningTasks, listen};
+use super::{GatewayContext, RunningTasks, listen, spawn_server};
 use crate::gateway::admin_frontend::AdminFrontend;
 use crate::gateway::config::object::{InventorySource, ObjectGatewayConfig};
 use crate::gateway::descriptors::{ConnectionBudget, NodeConnectionTimeouts, divide_descriptors};
@@ -9,20 +9,20 @@
 use crate::gateway::inventory::{InventoryActor, InventoryCommand, RackRegistry};
 use crate::gateway::node_registry::NodeRegistry;
 use crate::gateway::object_frontend::{
-    BodyMemory, NodeResponse, ObjectFrontend, ObjectLimits, ObjectPayload, ObjectTransport,
+    BodyMemory, NodeResponse, ObjectFrontend, ObjectPayload, ObjectTransport,
 };
+use crate::gateway::object_limits::ObjectLimits;
 use crate::gateway::reload::reload_inventory;
 use crate::gateway::signals::hangup_signal;
 use crate::protocol::inventory::InventoryNode;
 use crate::routing::{RequestRouter, RouterHandle};
 use crate::scheduler::SchedulerSettings;
-use crate::transport::{self, ConnectionLimits, LifecyclePhase};
+use crate::transport::ConnectionLimits;
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpListener;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Connections to the administration API: enough for a few operators and their tools.
@@ -55,7 +55,7 @@
         next_request_id: Cell::new(fastrand::u64(..)),
     });
     let admin_frontend = Rc::new(AdminFrontend {
-        token: config.admin_token,
+        token_hash: config.admin_token_hash,
         tenants: config.tenants,
         inventory,
         metrics,
@@ -64,8 +64,8 @@
     let object_listener = listen(config.listen).await?;
     let admin_listener = listen(config.admin_listen).await?;
     let servers = vec![
-        spawn_object_server(object_listener, clients, phase.clone(), object_frontend),
-        spawn_admin_server(admin_listener, phase, admin_frontend),
+        spawn_server(object_listener, clients, phase.clone(), object_frontend),
+        spawn_server(admin_listener, ADMIN_CONNECTIONS, phase, admin_frontend),
     ];
     Ok(RunningTasks { servers, actors })
 }
@@ -113,26 +113,3 @@
         GatewayActors { router, racks, inventory, tasks }
     }
 }
-
-fn spawn_object_server(
-    listener: TcpListener,
-    limits: ConnectionLimits,
-    phase: watch::Receiver<LifecyclePhase>,
-    frontend: Rc<ObjectFrontend>,
-) -> JoinHandle<()> {
-    spawn_local(transport::serve(listener, limits, phase, move |request, context| {
-        let frontend = frontend.clone();
-        async move { frontend.answer(request, context).await }
-    }))
-}
-
-fn spawn_admin_server(
-    listener: TcpListener,
-    phase: watch::Receiver<LifecyclePhase>,
-    frontend: Rc<AdminFrontend>,
-) -> JoinHandle<()> {
-    spawn_local(transport::serve(listener, ADMIN_CONNECTIONS, phase, move |request, context| {
-        let frontend = frontend.clone();
-        async move { frontend.answer(request, context).await }
-    }))
-}
--- a/src/gateway/startup/platform_gateway.rs
+++ b/src/gateway/startup/platform_gateway.rs
@@ -1,6 +1,6 @@
 //! Starts a gateway that speaks the platform's protocol and takes storage nodes from discovery.
 
-use super::{GatewayContext, RunningTasks, listen};
+use super::{GatewayContext, RunningTasks, listen, spawn_server};
 use crate::gateway::config::platform::PlatformConfig;
 use crate::gateway::descriptors::{ConnectionBudget, NodeConnectionTimeouts, divide_descriptors};
 use crate::gateway::discovery::{EndpointWatcher, watch_wait};
@@ -11,12 +11,10 @@
 use crate::gateway::signals::hangup_signal;
 use crate::routing::RequestRouter;
 use crate::scheduler::SchedulerSettings;
-use crate::transport::{self, ConnectionLimits, LifecyclePhase};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use tokio::task::{JoinHandle, spawn_local};
+use tokio::task::spawn_local;
 
 /// The shortest connect timeout, for settings that state none or next to none.
 const MIN_CONNECT_TIMEOUT_US: u64 = 1_000;
@@ -62,7 +60,8 @@
         shutdown,
         open_ids: OpenRequestIds::default(),
     });
-    let server = start_server(config.listen, clients, phase, frontend).await?;
+    let listener = listen(config.listen).await?;
+    let server = spawn_server(listener, clients, phase, frontend);
     Ok(RunningTasks { servers: vec![server], actors })
 }
 
@@ -79,17 +78,3 @@
     };
     divide_descriptors(config.descriptors, timeouts)
 }
-
-async fn start_server(
-    address: SocketAddr,
-    limits: ConnectionLimits,
-    phase: watch::Receiver<LifecyclePhase>,
-    frontend: Rc<PlatformFrontend>,
-) -> Result<JoinHandle<()>, RunError> {
-    let listener = listen(address).await?;
-    let server = transport::serve(listener, limits, phase, move |request, context| {
-        let frontend = frontend.clone();
-        async move { frontend.answer(request, context).await }
-    });
-    Ok(spawn_local(server))
-}
--- a/src/gateway/tenants.rs
+++ b/src/gateway/tenants/mod.rs
@@ -15,8 +15,26 @@
 /// The longest name of a tenant, in bytes; [`TenantFault::InvalidName`] states it too.
 const MAX_NAME_LEN: usize = 40;
 
-/// The hash that is stored of a token.
-pub type TokenHash = [u8; HASH_LEN];
+/// The hash that is stored of a token, in place of the token.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TokenHash([u8; HASH_LEN]);
+
+impl TokenHash {
+    /// The hash of a token. Tokens are long and random, so a plain hash suffices: there is nothing to guess.
+    pub fn of(token: &str) -> Self {
+        TokenHash(Sha256::digest(token.as_bytes()).into())
+    }
+
+    /// Parses a hash of 64 hex digits; none if the text is malformed.
+    pub fn parse(text: &str) -> Option<Self> {
+        if !text.is_ascii() || text.len() != 2 * HASH_LEN {
+            return None;
+        }
+        let bytes = (0..HASH_LEN).map(|index| u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok());
+        let bytes = bytes.collect::<Option<Vec<u8>>>()?;
+        bytes.try_into().ok().map(TokenHash)
+    }
+}
 
 /// Why a tenant is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -57,20 +75,6 @@
     TokenInUse,
 }
 
-/// Hashes a token. Tokens are long and random, so a plain hash suffices: there is nothing to guess.
-pub fn hash_token(token: &str) -> TokenHash {
-    Sha256::digest(token.as_bytes()).into()
-}
-
-/// Parses a hash of 64 hex digits.
-pub fn parse_token_hash(text: &str) -> Option<TokenHash> {
-    if !text.is_ascii() || text.len() != 2 * HASH_LEN {
-        return None;
-    }
-    let bytes = (0..HASH_LEN).map(|index| u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok());
-    bytes.collect::<Option<Vec<u8>>>()?.try_into().ok()
-}
-
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
@@ -82,7 +86,7 @@
     pub volumes: Vec<String>,
     /// The racks that hold its objects.
     pub racks: Vec<String>,
-    token: TokenHash,
+    token_hash: TokenHash,
 }
 
 impl Tenant {
@@ -146,11 +150,11 @@
         if racks.is_empty() || !racks.iter().all(|rack| is_plain_name(rack)) {
             return Err(TenantFault::InvalidRacks);
         }
-        let token = parse_token_hash(&token_sha256).ok_or(TenantFault::InvalidTokenHash)?;
-        if self.tenants.borrow().values().any(|other| other.token == token && other.name != name) {
+        let token_hash = TokenHash::parse(&token_sha256).ok_or(TenantFault::InvalidTokenHash)?;
+        if self.tenants.borrow().values().any(|other| other.token_hash == token_hash && other.name != name) {
             return Err(TenantFault::TokenInUse);
         }
-        Ok(Tenant { name, plan, volumes, racks, token })
+        Ok(Tenant { name, plan, volumes, racks, token_hash })
     }
 
     /// Removes a tenant; returns whether it existed.
@@ -160,8 +164,8 @@
 
     /// The tenant with this token. Hashes are compared, so the time taken reveals nothing of a token.
     pub fn with_token(&self, token: &str) -> Option<Rc<Tenant>> {
-        let token = hash_token(token);
-        self.tenants.borrow().values().find(|tenant| tenant.token == token).cloned()
+        let token_hash = TokenHash::of(token);
+        self.tenants.borrow().values().find(|tenant| tenant.token_hash == token_hash).cloned()
     }
 
     /// The tenants as the administration API shows them.
--- a/src/gateway/tenants/tests.rs
+++ b/src/gateway/tenants/tests.rs
@@ -7,7 +7,7 @@
         plan: 0,
         volumes: vec![],
         racks: vec!["r1".into(), "r2".into(), "r3".into()],
-        token: hash_token("t"),
+        token_hash: TokenHash::of("t"),
     };
     let keys: Vec<String> = (0..60).map(|n| format!("k{n}")).collect();
     let homes: Vec<_> = keys.iter().map(|k| tenant.rack("b", k).unwrap().clone()).collect();
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -4,27 +4,27 @@
 
 /// An operation of the administration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AdminRequest {
+pub enum AdminOperation {
     /// Report whether the gateway serves.
-    Health,
+    ReportHealth,
     /// Report the counters.
-    Counters,
+    ReportCounters,
     /// List all tenants.
-    Tenants,
+    ListTenants,
     /// Show the tenant with this name.
-    Tenant(String),
+    ShowTenant(String),
     /// Add or replace the tenant with this name; its definition is in the body.
     PutTenant(String),
     /// Remove the tenant with this name.
     DeleteTenant(String),
     /// List all storage nodes.
-    Nodes,
+    ListNodes,
     /// Drain the storage node with this name.
-    Drain(String),
+    DrainNode(String),
     /// Return the storage node with this name to the state that the inventory states.
-    Return(String),
+    ReturnNode(String),
     /// Reload the inventory.
-    Reload,
+    ReloadInventory,
 }
 
 /// Why a request names no operation.
@@ -43,19 +43,19 @@
 /// # Errors
 ///
 /// Returns an error if no operation has this path, or none with this path has this method.
-pub fn decode(method: &str, path: &str) -> Result<AdminRequest, AdminRequestError> {
+pub fn decode(method: &str, path: &str) -> Result<AdminOperation, AdminRequestError> {
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     Ok(match (method, segments.as_slice()) {
-        ("GET", ["v1", "health"]) => AdminRequest::Health,
-        ("GET", ["v1", "counters"]) => AdminRequest::Counters,
-        ("GET", ["v1", "tenants"]) => AdminRequest::Tenants,
-        ("GET", ["v1", "tenants", name]) => AdminRequest::Tenant(name.to_string()),
-        ("PUT", ["v1", "tenants", name]) => AdminRequest::PutTenant(name.to_string()),
-        ("DELETE", ["v1", "tenants", name]) => AdminRequest::DeleteTenant(name.to_string()),
-        ("GET", ["v1", "nodes"]) => AdminRequest::Nodes,
-        ("POST", ["v1", "nodes", name, "drain"]) => AdminRequest::Drain(name.to_string()),
-        ("POST", ["v1", "nodes", name, "return"]) => AdminRequest::Return(name.to_string()),
-        ("POST", ["v1", "inventory", "reload"]) => AdminRequest::Reload,
+        ("GET", ["v1", "health"]) => AdminOperation::ReportHealth,
+        ("GET", ["v1", "counters"]) => AdminOperation::ReportCounters,
+        ("GET", ["v1", "tenants"]) => AdminOperation::ListTenants,
+        ("GET", ["v1", "tenants", name]) => AdminOperation::ShowTenant(name.to_string()),
+        ("PUT", ["v1", "tenants", name]) => AdminOperation::PutTenant(name.to_string()),
+        ("DELETE", ["v1", "tenants", name]) => AdminOperation::DeleteTenant(name.to_string()),
+        ("GET", ["v1", "nodes"]) => AdminOperation::ListNodes,
+        ("POST", ["v1", "nodes", name, "drain"]) => AdminOperation::DrainNode(name.to_string()),
+        ("POST", ["v1", "nodes", name, "return"]) => AdminOperation::ReturnNode(name.to_string()),
+        ("POST", ["v1", "inventory", "reload"]) => AdminOperation::ReloadInventory,
         (_, segments) if is_known_path(segments) => return Err(AdminRequestError::MethodNotAllowed),
         _ => return Err(AdminRequestError::UnknownPath),
     })
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -1,5 +1,8 @@
 //! The platform's protocol between clients, gateways and storage nodes.
 
+use super::common_headers::{
+    DEADLINE, DEFAULT_HOST, IDEMPOTENCY_KEY, REQUEST_ID, encode_deadline, parse_timeout,
+};
 use crate::scheduler::{BlockId, ShardId, VolumeId};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,32 +13,32 @@
 
 /// The largest body that the platform allows, in bytes.
 pub const MAX_BODY_LEN: usize = 64 * 1024;
-/// The path of the readiness check: whether the gateway takes requests.
-pub const READINESS_PATH: &str = "/health/ready";
-/// The path of the liveness check: whether the gateway runs.
-pub const LIVENESS_PATH: &str = "/health/live";
-
 /// The length of the hexadecimal numbers of volumes and blocks, in digits.
 const HEX_DIGITS: usize = 16;
 /// The shortest `Retry-After` given out: its three decimals would show less as zero.
 const MIN_RETRY_AFTER_US: u64 = 1_000;
-/// The host named to a storage node where the client names none.
-const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
 /// The client's headers that are forwarded to storage nodes.
 const FORWARDED_HEADERS: [&str; 7] =
-    ["host", "req-id", "req-kind", "tier", "io-info", "idempotency-key", "req-retry"];
+    ["host", REQUEST_ID, "req-kind", "tier", "io-info", IDEMPOTENCY_KEY, "req-retry"];
 
 /// The names that requests use for the classes and plans that the settings number.
 #[derive(Clone, Debug)]
 pub struct NameTable {
-    /// The names of the classes, in order of their numbers.
-    pub classes: Vec<String>,
+    /// The classes, in order of their numbers.
+    pub classes: Vec<NamedClass>,
     /// The names of the plans, in order of their numbers.
     pub plans: Vec<String>,
-    /// Whether each class writes; empty if unknown.
-    pub writes: Vec<bool>,
-    /// Whether the requests of each class carry an idempotency key.
-    pub has_idempotency_key: Vec<bool>,
+}
+
+/// A request class as requests name it.
+#[derive(Clone, Debug)]
+pub struct NamedClass {
+    /// Its name.
+    pub name: String,
+    /// Whether its requests write, if the settings state it.
+    pub writes: Option<bool>,
+    /// Whether its requests carry an idempotency key.
+    pub requires_idempotency_key: bool,
 }
 
 /// Why a client's request cannot be decoded.
@@ -101,7 +104,7 @@
     if conflicting_length || !has_supported_coding(head) {
         return Err(RequestError::AmbiguousLength);
     }
-    single_header(&head.headers, "req-id")?;
+    single_header(&head.headers, REQUEST_ID)?;
     let block = parse_block(head)?;
     let class = parse_class(head, names)?;
     let plan = parse_plan(head, names)?;
@@ -137,15 +140,17 @@
 
 fn parse_class(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
     let name = single_header(&head.headers, "req-kind")?;
-    let class = names.classes.iter().position(|class| class == name).ok_or(RequestError::UnknownClass)?;
+    let index =
+        names.classes.iter().position(|class| class.name == name).ok_or(RequestError::UnknownClass)?;
+    let class = &names.classes[index];
     let is_write = head.method == Method::PUT;
-    if names.writes.get(class).is_some_and(|writes| *writes != is_write) {
+    if class.writes.is_some_and(|writes| writes != is_write) {
         return Err(RequestError::MethodMismatch);
     }
-    if names.has_idempotency_key.get(class) == Some(&true) {
-        single_header(&head.headers, "idempotency-key")?;
+    if class.requires_idempotency_key {
+        single_header(&head.headers, IDEMPOTENCY_KEY)?;
     }
-    Ok(class)
+    Ok(index)
 }
 
 fn parse_plan(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
@@ -154,20 +159,7 @@
 }
 
 fn parse_deadline(head: &Parts) -> Result<u64, RequestError> {
-    let name = "req-deadline";
-    parse_timeout(single_header(&head.headers, name)?).ok_or(RequestError::InvalidHeader(name))
-}
-
-/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds) to microseconds; none if it is
-/// malformed.
-pub fn parse_timeout(text: &str) -> Option<u64> {
-    let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    let factor = match unit {
-        "m" => 1_000,
-        "u" => 1,
-        _ => return None,
-    };
-    number.parse::<u64>().ok()?.checked_mul(factor)
+    parse_timeout(single_header(&head.headers, DEADLINE)?).ok_or(RequestError::InvalidHeader(DEADLINE))
 }
 
 /// The value of a header that must occur exactly once.
@@ -245,8 +237,7 @@
     if !headers.contains_key(HOST) {
         headers.insert(HOST, DEFAULT_HOST);
     }
-    let deadline = format!("{}u", remaining.as_micros());
-    headers.insert("req-deadline", deadline.try_into().expect("digits are a valid header value"));
+    headers.insert(DEADLINE, encode_deadline(remaining));
     if head.method != Method::GET || !body.is_empty() {
         headers.insert(CONTENT_LENGTH, body.len().into());
     }
--- a/src/protocol/object/node_request.rs
+++ b/src/protocol/object/node_request.rs
@@ -2,6 +2,7 @@
 
 use super::headers::headers_to_node;
 use super::{ByteRange, ObjectRequest, Operation, header_value};
+use crate::protocol::common_headers::{DEADLINE, encode_deadline};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName};
@@ -67,7 +68,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.parse().expect("an escaped path is a valid target");
         *request.headers_mut() = self.headers.clone();
-        request.headers_mut().insert("req-deadline", header_value(format!("{}u", remaining.as_micros())));
+        request.headers_mut().insert(DEADLINE, encode_deadline(remaining));
         request
     }
 
--- a/src/routing/handle.rs
+++ b/src/routing/handle.rs
@@ -26,17 +26,17 @@
         RouterHandle { commands, next_request: Rc::default() }
     }
 
-    /// Submits a request, which gets its number here. It is answered by `request.expires_at_us`, plus the
-    /// grace that the settings give.
-    pub fn submit(&self, mut request: IncomingRequest, payload: P) -> PendingResponse<P, R> {
-        request.id = self.next_request_id();
+    /// Submits a request, whose number is one of [`next_request_id`](Self::next_request_id). It is answered by
+    /// `request.expires_at_us`, plus the grace that the settings give.
+    pub fn submit(&self, request: IncomingRequest, payload: P) -> PendingResponse<P, R> {
         let id = request.id;
         let (responder, answer) = oneshot::channel::<FinalAnswer<R>>();
         self.send(Command::Submit { request, payload, responder });
         PendingResponse::new(id, answer, self.clone())
     }
 
-    fn next_request_id(&self) -> RequestId {
+    /// The number for a request that is about to be submitted; no two requests in flight have the same.
+    pub fn next_request_id(&self) -> RequestId {
         let number = self.next_request.get();
         self.next_request.set(number.wrapping_add(1));
         RequestId(number)
@@ -53,12 +53,12 @@
         self.send(Command::AttemptEnded { request, attempt, result });
     }
 
-    /// The endpoint list or a part of it has come, or a call for it has failed.
+    /// The endpoint list or a part of it has arrived, or a poll has failed.
     pub fn endpoints_updated(&self, update: EndpointUpdate) {
         self.send(Command::EndpointsUpdated(update));
     }
 
-    /// The client of a request has left.
+    /// The client of a request has disconnected.
     pub(super) fn client_disconnected(&self, request: RequestId) {
         self.send(Command::ClientDisconnected(request));
     }
--- a/tests/endpoint_polling.rs
+++ b/tests/endpoint_polling.rs
@@ -68,8 +68,8 @@
     let settings = SchedulerSettings { gateway_count: gateways, endpoints_on_request: true, ..settings() };
     let mut fleet = PollingFleet::start(&settings);
     fleet.run_until(SIMULATION_START_US + 30 * SECOND);
-    let most = fleet.busiest_second();
-    assert!(most <= 30, "{most} polls of {gateways} gateways in one second");
+    let max_polls = fleet.busiest_second();
+    assert!(max_polls <= 30, "{max_polls} polls of {gateways} gateways in one second");
     for polls in &fleet.polls_at_us {
         assert!(
             polls[0] < SIMULATION_START_US + settings.max_poll_interval_us,
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -244,9 +244,9 @@
             simulation.run_round(round);
         }
         let (served, servable) = (simulation.served_units, simulation.servable_units);
-        let least = if gateways > 3 { 0.4 } else { 0.25 };
+        let min_fraction = if gateways > 3 { 0.4 } else { 0.25 };
         assert!(
-            served > least * servable,
+            served > min_fraction * servable,
             "{gateways} gateways sent a warming-up node {served} units of {servable}"
         );
     }
