--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -13,7 +13,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::ops::RangeInclusive;
 use std::rc::Rc;
-use storage_gateway::protocol::object::{self, ApiError, ByteRange, ListedPart, Listing, Operation};
+use storage_gateway::protocol::object::{self, ApiError, ByteRange, ListedPart, Operation, PartsList};
 use storage_gateway::transport::{ConnectionLimits, LifecyclePhase, ResponseBody, full_body, serve};
 
 /// The address to listen on if none is given.
@@ -128,8 +128,8 @@
             etag: part.etag.clone(),
             size: part.bytes.len() as u64,
         });
-        let listing = Listing::new(listed.collect());
-        Ok(response(StatusCode::OK, object::encode_listing(listing, "", "", upload_id)))
+        let listing = PartsList::new(listed.collect());
+        Ok(response(StatusCode::OK, object::encode_parts_list(listing, "", "", upload_id)))
     }
 
     /// Carries out a write, or returns the result of the earlier one with this idempotency key.
@@ -187,7 +187,7 @@
     fn initiate_upload(&mut self) -> WriteResult {
         self.uploads_initiated += 1;
         let upload_id = format!("toy-{}", self.uploads_initiated);
-        let body = object::encode_initiated("", "", &upload_id);
+        let body = object::encode_initiation_result("", "", &upload_id);
         self.uploads.insert(upload_id, Parts::new());
         WriteResult { status: StatusCode::OK, body, etag: None }
     }
--- a/src/bin/scheduler-simulator-adapter/wire.rs
+++ b/src/bin/scheduler-simulator-adapter/wire.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use storage_gateway::protocol::settings::PlatformSettings;
 use storage_gateway::scheduler::{
-    AttemptOutcome, AttemptReport, BlockId, Endpoint, EndpointState, Event, IncomingRequest, LoadReport,
-    RequestId, ShardId, VolumeId, ZoneId,
+    AttemptOutcome, AttemptReport, BlockId, ClassIndex, Endpoint, EndpointState, Event, IncomingRequest,
+    LoadReport, PlanIndex, RequestId, ShardId, VolumeId, ZoneId,
 };
 
 /// The time of a batch.
@@ -129,8 +129,8 @@
         let shard = self.shard.filter(|shard| *shard >= 0.0);
         Ok(IncomingRequest {
             id: RequestId(self.request),
-            class: self.class,
-            plan: self.plan,
+            class: ClassIndex(self.class),
+            plan: PlanIndex(self.plan),
             volume: VolumeId(volume),
             volume_gateways: self.volume_gateways,
             block: block.map(BlockId),
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -4,8 +4,8 @@
 use super::routed_request::RoutedRequest;
 use crate::protocol::object::{
     ApiError, ErrorBody, ObjectPath, ObjectRequest, Operation, Upload, UploadKey, decode_completion_result,
-    decode_error, decode_initiated, decode_listing, encode_completion_result, encode_initiated,
-    encode_listing, headers_to_client,
+    decode_error, decode_initiation_result, decode_parts_list, encode_completion_result,
+    encode_initiation_result, encode_parts_list, headers_to_client,
 };
 use crate::transport::{ResponseBody, full_body};
 use bytes::Bytes;
@@ -55,10 +55,10 @@
 
 fn initiation_body(body: &Bytes, routed: RoutedRequest, upload_key: &UploadKey) -> Result<String, ApiError> {
     let RoutedRequest { tenant, request, rack, .. } = routed;
-    let node_id = decode_initiated(body).ok_or_else(ApiError::internal_error)?;
+    let node_id = decode_initiation_result(body).ok_or_else(ApiError::internal_error)?;
     let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
     let id = upload_key.sign(path, &Upload { rack, node_id });
-    Ok(encode_initiated(&request.bucket, &request.key, &id))
+    Ok(encode_initiation_result(&request.bucket, &request.key, &id))
 }
 
 /// S3 may begin a completion with status 200 and end it with an error.
@@ -76,6 +76,6 @@
 }
 
 fn parts_list_body(body: &Bytes, request: &ObjectRequest, upload_id: &str) -> Result<String, ApiError> {
-    let listing = decode_listing(body).ok_or_else(ApiError::internal_error)?;
-    Ok(encode_listing(listing, &request.bucket, &request.key, upload_id))
+    let listing = decode_parts_list(body).ok_or_else(ApiError::internal_error)?;
+    Ok(encode_parts_list(listing, &request.bucket, &request.key, upload_id))
 }
--- a/src/gateway/object_limits.rs
+++ b/src/gateway/object_limits.rs
@@ -1,6 +1,7 @@
 //! The limits of the object API, and its request classes.
 
 use crate::protocol::object::Operation;
+use crate::scheduler::ClassIndex;
 use std::time::Duration;
 
 /// Bytes to a permit of the memory for bodies.
@@ -24,8 +25,8 @@
     }
 
     /// The class's number in the scheduler's settings.
-    pub fn index(self) -> usize {
-        self as usize
+    pub fn index(self) -> ClassIndex {
+        ClassIndex(self as usize)
     }
 }
 
--- a/src/gateway/tenants/mod.rs
+++ b/src/gateway/tenants/mod.rs
@@ -4,6 +4,7 @@
 use crate::protocol::admin::{TenantDefinition, TenantView};
 use crate::protocol::inventory::is_plain_name;
 use crate::protocol::object::is_valid_bucket_name;
+use crate::scheduler::PlanIndex;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -80,8 +81,8 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// The number of its plan.
-    pub plan: usize,
+    /// Its plan.
+    pub plan: PlanIndex,
     /// Its volumes: the buckets of the object API.
     pub volumes: Vec<String>,
     /// The racks that hold its objects.
@@ -154,7 +155,7 @@
         if self.tenants.borrow().values().any(|other| other.token_hash == token_hash && other.name != name) {
             return Err(TenantFault::TokenInUse);
         }
-        Ok(Tenant { name, plan, volumes, racks, token_hash })
+        Ok(Tenant { name, plan: PlanIndex(plan), volumes, racks, token_hash })
     }
 
     /// Removes a tenant; returns whether it existed.
@@ -172,7 +173,7 @@
     pub fn views(&self) -> Vec<TenantView> {
         let view = |tenant: &Rc<Tenant>| TenantView {
             name: tenant.name.clone(),
-            plan: self.plans[tenant.plan].clone(),
+            plan: self.plans[tenant.plan.0].clone(),
             volumes: tenant.volumes.clone(),
             racks: tenant.racks.clone(),
         };
--- a/src/gateway/tenants/tests.rs
+++ b/src/gateway/tenants/tests.rs
@@ -4,7 +4,7 @@
 fn an_object_stays_on_its_rack_when_another_rack_goes() {
     let mut tenant = Tenant {
         name: "uni".into(),
-        plan: 0,
+        plan: PlanIndex(0),
         volumes: vec![],
         racks: vec!["r1".into(), "r2".into(), "r3".into()],
         token_hash: TokenHash::of("t"),
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -3,7 +3,7 @@
 use super::common_headers::{
     DEADLINE, DEFAULT_HOST, IDEMPOTENCY_KEY, REQUEST_ID, encode_deadline, parse_timeout,
 };
-use crate::scheduler::{BlockId, ShardId, VolumeId};
+use crate::scheduler::{BlockId, ClassIndex, PlanIndex, ShardId, VolumeId};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap, HeaderValue, TRANSFER_ENCODING};
@@ -70,10 +70,10 @@
 /// What the head of a client's request states.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// The class, as an index into the settings.
-    pub class: usize,
-    /// The plan, as an index into the settings.
-    pub plan: usize,
+    /// The class.
+    pub class: ClassIndex,
+    /// The plan.
+    pub plan: PlanIndex,
     /// The volume.
     pub volume: VolumeId,
     /// How many gateways the volume's requests come through.
@@ -138,7 +138,7 @@
     last_segment.and_then(parse_hex).map(BlockId).ok_or(RequestError::InvalidBlock)
 }
 
-fn parse_class(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
+fn parse_class(head: &Parts, names: &NameTable) -> Result<ClassIndex, RequestError> {
     let name = single_header(&head.headers, "req-kind")?;
     let index =
         names.classes.iter().position(|class| class.name == name).ok_or(RequestError::UnknownClass)?;
@@ -150,12 +150,12 @@
     if class.requires_idempotency_key {
         single_header(&head.headers, IDEMPOTENCY_KEY)?;
     }
-    Ok(index)
+    Ok(ClassIndex(index))
 }
 
-fn parse_plan(head: &Parts, names: &NameTable) -> Result<usize, RequestError> {
+fn parse_plan(head: &Parts, names: &NameTable) -> Result<PlanIndex, RequestError> {
     let name = single_header(&head.headers, "tier")?;
-    names.plans.iter().position(|plan| plan == name).ok_or(RequestError::UnknownPlan)
+    names.plans.iter().position(|plan| plan == name).map(PlanIndex).ok_or(RequestError::UnknownPlan)
 }
 
 fn parse_deadline(head: &Parts) -> Result<u64, RequestError> {
--- a/src/protocol/object/mod.rs
+++ b/src/protocol/object/mod.rs
@@ -15,9 +15,9 @@
 pub use request::{ObjectRequest, Operation, decode, is_valid_bucket_name};
 pub use upload::{ObjectPath, Upload, UploadKey};
 pub use xml::{
-    CompletePart, ErrorBody, ListedPart, Listing, decode_completion_request, decode_completion_result,
-    decode_error, decode_initiated, decode_listing, encode_completion_request, encode_completion_result,
-    encode_error, encode_initiated, encode_listing,
+    CompletedPart, ErrorBody, ListedPart, PartsList, decode_completion_request, decode_completion_result,
+    decode_error, decode_initiation_result, decode_parts_list, encode_completion_request,
+    encode_completion_result, encode_error, encode_initiation_result, encode_parts_list,
 };
 
 /// The highest number of a part, S3's own limit.
--- a/src/protocol/object/xml.rs
+++ b/src/protocol/object/xml.rs
@@ -33,12 +33,12 @@
 #[derive(Serialize, Deserialize)]
 struct WireComplete {
     #[serde(rename = "Part", default)]
-    parts: Vec<CompletePart>,
+    parts: Vec<CompletedPart>,
 }
 
 /// A part as a client names it in the request to complete the upload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct CompletePart {
+pub struct CompletedPart {
     /// Its number.
     #[serde(rename = "PartNumber")]
     pub number: u32,
@@ -80,7 +80,7 @@
 /// A page of the list of an upload's parts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Listing {
+pub struct PartsList {
     #[serde(rename = "@xmlns", default)]
     namespace: String,
     /// The bucket.
@@ -102,10 +102,10 @@
     pub parts: Vec<ListedPart>,
 }
 
-impl Listing {
+impl PartsList {
     /// A complete list of parts, for no upload yet.
-    pub fn new(parts: Vec<ListedPart>) -> Listing {
-        Listing { parts, ..Listing::default() }
+    pub fn new(parts: Vec<ListedPart>) -> PartsList {
+        PartsList { parts, ..PartsList::default() }
     }
 }
 
@@ -144,7 +144,7 @@
 }
 
 /// Encodes the response to a client that began an upload.
-pub fn encode_initiated(bucket: &str, key: &str, upload_id: &str) -> String {
+pub fn encode_initiation_result(bucket: &str, key: &str, upload_id: &str) -> String {
     let wire = WireInitiated {
         namespace: NAMESPACE.into(),
         bucket: bucket.into(),
@@ -155,7 +155,7 @@
 }
 
 /// Decodes the storage node's id of an upload that was begun.
-pub fn decode_initiated(body: &[u8]) -> Option<String> {
+pub fn decode_initiation_result(body: &[u8]) -> Option<String> {
     decode::<WireInitiated>(body).map(|initiated| initiated.upload_id).filter(|id| !id.is_empty())
 }
 
@@ -164,7 +164,7 @@
 /// # Errors
 ///
 /// Returns an error if the XML is malformed, names no part, or names parts out of bounds or order.
-pub fn decode_completion_request(body: &[u8]) -> Result<Vec<CompletePart>, ApiError> {
+pub fn decode_completion_request(body: &[u8]) -> Result<Vec<CompletedPart>, ApiError> {
     let WireComplete { parts } = decode(body).ok_or_else(ApiError::malformed_xml)?;
     if parts.is_empty() || parts.iter().any(|part| !(1..=MAX_PART_NUMBER).contains(&part.number)) {
         return Err(ApiError::malformed_xml());
@@ -176,7 +176,7 @@
 }
 
 /// Encodes the request to a storage node to assemble parts.
-pub fn encode_completion_request(parts: Vec<CompletePart>) -> String {
+pub fn encode_completion_request(parts: Vec<CompletedPart>) -> String {
     encode("CompleteMultipartUpload", &WireComplete { parts })
 }
 
@@ -198,13 +198,13 @@
 }
 
 /// Decodes a storage node's list of parts.
-pub fn decode_listing(body: &[u8]) -> Option<Listing> {
+pub fn decode_parts_list(body: &[u8]) -> Option<PartsList> {
     decode(body)
 }
 
 /// Encodes the list of parts for a client, under the names that the client knows.
-pub fn encode_listing(listing: Listing, bucket: &str, key: &str, upload_id: &str) -> String {
-    let wire = Listing {
+pub fn encode_parts_list(listing: PartsList, bucket: &str, key: &str, upload_id: &str) -> String {
+    let wire = PartsList {
         namespace: NAMESPACE.into(),
         bucket: bucket.into(),
         key: key.into(),
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -28,9 +28,7 @@
     /// Handles a request that has arrived.
     pub(super) fn admit(&mut self, incoming: &IncomingRequest, actions: &mut Vec<Action>) {
         self.retry_usage.record_request(self.now_us);
-        let is_known =
-            incoming.class < self.settings.classes.len() && incoming.plan < self.settings.plans.len();
-        if !is_known {
+        if !self.settings.know(incoming.class, incoming.plan) {
             actions.push(Action::Reject { request: incoming.id, retry_after_us: None });
             return;
         }
@@ -57,9 +55,9 @@
     /// When an answer no longer earns the full priority weight. A client with less time left than clients of
     /// its class usually have is assumed to have waited for the difference at another gateway.
     fn objective_at_us(&mut self, incoming: &IncomingRequest) -> u64 {
-        let class = &self.settings.classes[incoming.class];
+        let class = &self.settings.class(incoming.class);
         let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
-        let longest_us = &mut self.longest_timeouts_us[incoming.class];
+        let longest_us = &mut self.longest_timeouts_us[incoming.class.0];
         *longest_us = (*longest_us).max(left_us.min(class.deadline_us));
         let began_at_us = self.now_us.saturating_sub(longest_us.saturating_sub(left_us));
         // Any node stands for all: the stretch needs only the order of magnitude.
@@ -74,7 +72,7 @@
     /// the reservation, or admitted beyond it. A request that the rate limit cannot admit within its
     /// objective is rejected at once: queued, it would delay everything behind it.
     fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
-        let plan = &self.settings.plans[incoming.plan];
+        let plan = &self.settings.plan(incoming.plan);
         let (gateways, max_units) = (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
         let started_at_us = self.started_at_us;
         let volume = self
@@ -97,7 +95,7 @@
     }
 
     fn queued_request(&self, incoming: &IncomingRequest, objective_at_us: u64, reserved: bool) -> Request {
-        let queueing_budget_us = self.latency_models[incoming.class].queueing_budget_us;
+        let queueing_budget_us = self.latency_models[incoming.class.0].queueing_budget_us;
         Request {
             class: incoming.class,
             plan: incoming.plan,
@@ -116,7 +114,7 @@
             response_started: false,
             reserved,
             sent_as_background: false,
-            rate_limit_charge: match self.settings.plans[incoming.plan].rate_limit {
+            rate_limit_charge: match self.settings.plan(incoming.plan).rate_limit {
                 Some(_) => RateLimitCharge::Pending,
                 None => RateLimitCharge::Settled,
             },
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -175,8 +175,8 @@
 
     /// The priority of this request if it is sent to this node now, relative to the highest possible.
     fn priority(&self, request: &Request, node: &NodeState) -> f64 {
-        let class = &self.settings.classes[request.class];
-        let plan = &self.settings.plans[request.plan];
+        let class = &self.settings.class(request.class);
+        let plan = &self.settings.plan(request.plan);
         let surplus_factor = if request.reserved { 1.0 } else { self.settings.fair_share_weight_factor };
         let late_factor = if self.would_be_late(request, node) { class.late_weight_factor } else { 1.0 };
         class.priority_weight * plan.priority_factor / self.max_priority * surplus_factor * late_factor
@@ -235,7 +235,7 @@
             return true;
         }
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return true };
-        let plan = &self.settings.plans[request.plan];
+        let plan = &self.settings.plan(request.plan);
         volume.advance(plan, self.now_us, self.settings.max_request_units);
         volume.rate_limit_admits(plan, request.units)
     }
@@ -254,7 +254,7 @@
             request.rate_limit_charge = RateLimitCharge::Settled;
         }
         if request.sent_as_background {
-            let weight = self.settings.plans[request.plan].weight;
+            let weight = self.settings.plan(request.plan).weight;
             node.fair_queue.serve(request.volume, request.units, weight);
         }
         node.pacing.record_send(self.now_us, MIN_PACING_GAP_FACTOR + self.rng.f64());
@@ -278,7 +278,7 @@
     /// nobody waits for any more; loses late answers.
     fn attempt_timeout_us(&self, id: RequestId, node: NodeIndex) -> Option<u64> {
         let (request, node) = (&self.requests[&id], &self.nodes[node]);
-        let idempotency = self.settings.classes[request.class].idempotency;
+        let idempotency = self.settings.class(request.class).idempotency;
         let may_be_cut = self.settings.cancellation
             && idempotency != Idempotency::NonIdempotent
             && node.window.is_minimal();
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -2,6 +2,7 @@
 //!
 //! Fields that end in `_us` are microseconds; points in time are read off the caller's clock.
 
+use super::settings::{ClassIndex, PlanIndex};
 use std::sync::Arc;
 
 /// The name of a storage node.
@@ -72,10 +73,10 @@
 pub struct IncomingRequest {
     /// Its number.
     pub id: RequestId,
-    /// Its class, as an index into the settings.
-    pub class: usize,
-    /// The plan of its volume, as an index into the settings.
-    pub plan: usize,
+    /// Its class.
+    pub class: ClassIndex,
+    /// The plan of its volume.
+    pub plan: PlanIndex,
     /// Its volume.
     pub volume: VolumeId,
     /// How many gateways the volume's requests come through.
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -61,7 +61,7 @@
     /// Whether the request is past its objective and either earns nothing late or has not been admitted by
     /// its volume's rate limit.
     fn is_dropped_past_objective(&self, request: &Request) -> bool {
-        let earns_nothing_late = self.settings.classes[request.class].late_weight_factor <= 0.0;
+        let earns_nothing_late = self.settings.class(request.class).late_weight_factor <= 0.0;
         (request.owes_rate_limit() || earns_nothing_late) && request.objective_at_us < self.now_us
     }
 
@@ -108,7 +108,7 @@
     /// How long until the rate limit of the request's volume admits it, in microseconds.
     fn rate_limit_wait_us(&self, request: &Request) -> u64 {
         let volume = self.volumes.get(&request.volume).filter(|_| request.owes_rate_limit());
-        let rate_limit = self.settings.plans[request.plan].rate_limit;
+        let rate_limit = self.settings.plan(request.plan).rate_limit;
         // No further units: the request itself is already among the uncharged ones.
         volume.zip(rate_limit).map_or(0, |(volume, limit)| volume.rate_limit_wait_us(&limit, 0.0))
     }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -50,8 +50,8 @@
     LoadReport, NodeId, RequestId, ShardId, VolumeId, ZoneId,
 };
 pub use settings::{
-    DeduplicationScope, Idempotency, RateLimit, RequestClass, RetryBudget, SchedulerSettings, ServicePlan,
-    SlowStartPolicy,
+    ClassIndex, DeduplicationScope, Idempotency, PlanIndex, RateLimit, RequestClass, RetryBudget,
+    SchedulerSettings, ServicePlan, SlowStartPolicy,
 };
 
 use endpoints::EndpointPolling;
@@ -84,7 +84,7 @@
     /// assumed to have spent the difference at another gateway.
     longest_timeouts_us: Vec<u64>,
     /// The class that yields to the others.
-    background_class: usize,
+    background_class: ClassIndex,
     /// The tightest objective of all classes.
     tightest_objective_us: f64,
     /// The highest priority that a request can have.
@@ -184,7 +184,7 @@
 
 /// The background class. Prefers a class with no objective before its deadline; among equals, the lowest
 /// weight, then the longest objective, then one without any.
-fn background_class(settings: &SchedulerSettings) -> usize {
+fn background_class(settings: &SchedulerSettings) -> ClassIndex {
     let order = |class: &RequestClass| {
         let objective_us = class.latency_objective_us;
         let is_latency_bound = objective_us.is_some_and(|objective_us| objective_us < class.deadline_us);
@@ -192,7 +192,7 @@
         (is_latency_bound, class.priority_weight.max(0.0).to_bits(), Reverse(objective_us))
     };
     let classes = 0..settings.classes.len();
-    classes.min_by_key(|class| order(&settings.classes[*class])).unwrap_or(0)
+    ClassIndex(classes.min_by_key(|class| order(&settings.classes[*class])).unwrap_or(0))
 }
 
 /// The highest priority that a request can have.
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -2,6 +2,7 @@
 
 use super::event::{BlockId, ShardId, VolumeId};
 use super::node::NodeIndex;
+use super::settings::{ClassIndex, PlanIndex};
 
 /// An attempt at a request that is in flight.
 pub(super) struct AttemptInFlight {
@@ -50,9 +51,8 @@
 
 /// A request that the scheduler knows.
 pub(super) struct Request {
-    /// Its class and plan, as indices into the settings.
-    pub(super) class: usize,
-    pub(super) plan: usize,
+    pub(super) class: ClassIndex,
+    pub(super) plan: PlanIndex,
     pub(super) volume: VolumeId,
     pub(super) block: Option<BlockId>,
     pub(super) placement: Placement,
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -89,7 +89,7 @@
     /// RULE idempotency: whether a request may be sent (again) to some node.
     pub(super) fn may_be_sent(&self, request: &Request) -> bool {
         let Some(earlier) = request.possible_execution else { return true };
-        match self.settings.classes[request.class].idempotency {
+        match self.settings.class(request.class).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::WithKey { window_us, .. } => {
@@ -104,7 +104,7 @@
     /// RULE idempotency: whether a request may be sent (again) to this node.
     pub(super) fn may_be_sent_to(&self, request: &Request, node: NodeIndex) -> bool {
         let is_recognized =
-            || match (request.possible_execution, self.settings.classes[request.class].idempotency) {
+            || match (request.possible_execution, self.settings.class(request.class).idempotency) {
                 (Some(earlier), Idempotency::WithKey { scope, .. }) => {
                     self.recognizes_key(scope, node, earlier)
                 }
@@ -125,7 +125,7 @@
 
     /// Whether a client may repeat the request without harm if it gets no answer.
     pub(super) fn may_be_repeated_by_client(&self, request: &Request) -> bool {
-        match self.settings.classes[request.class].idempotency {
+        match self.settings.class(request.class).idempotency {
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::AllNodes, .. } => {
                 true
             }
@@ -135,7 +135,7 @@
 
     /// The block whose requests this one is ordered among, if its class requires order.
     pub(super) fn ordering_block(&self, request: &Request) -> Option<BlockId> {
-        request.block.filter(|_| self.settings.classes[request.class].ordered_by_key)
+        request.block.filter(|_| self.settings.class(request.class).ordered_by_key)
     }
 
     /// Whether it is the request's turn among those for its block.
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -3,6 +3,14 @@
 //! Every field follows from the platform's settings or from the operator's file; a rule or ability that these
 //! do not name is absent. Fields that end in `_us` are microseconds.
 
+/// The number of a request class: its index in [`SchedulerSettings::classes`].
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ClassIndex(pub usize);
+
+/// The number of a service plan: its index in [`SchedulerSettings::plans`].
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PlanIndex(pub usize);
+
 /// Which repetitions of a request are harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
@@ -148,3 +156,20 @@
     /// Whether answers report what a node served the volume through other gateways.
     pub reports_other_gateways: bool,
 }
+
+impl SchedulerSettings {
+    /// Whether there are such a class and such a plan.
+    pub(super) fn know(&self, class: ClassIndex, plan: PlanIndex) -> bool {
+        class.0 < self.classes.len() && plan.0 < self.plans.len()
+    }
+
+    /// The class with this number, which must be known.
+    pub(super) fn class(&self, class: ClassIndex) -> &RequestClass {
+        &self.classes[class.0]
+    }
+
+    /// The plan with this number, which must be known.
+    pub(super) fn plan(&self, plan: PlanIndex) -> &ServicePlan {
+        &self.plans[plan.0]
+    }
+}
--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -5,6 +5,7 @@
 
 use super::Scheduler;
 use super::latency_model::{LatencyModel, MAX_TARGET_RATIO, MIN_TARGET_RATIO};
+use super::settings::ClassIndex;
 
 /// Alpha falls by this over the mean coefficient of variation while all classes keep their targets: gamma of
 /// the paper.
@@ -64,7 +65,8 @@
             model.refit(class, self.now_us);
         }
         let background = self.background_class;
-        let latency_bound = self.latency_models.iter().enumerate().filter(|(class, _)| *class != background);
+        let latency_bound =
+            self.latency_models.iter().enumerate().filter(|(class, _)| ClassIndex(*class) != background);
         self.slot_split.update(latency_bound.map(|(_, model)| model));
     }
 }
--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -114,8 +114,8 @@
 pub fn incoming_request(id: u32, class: usize, shard: u32, expires_at_us: u64) -> IncomingRequest {
     IncomingRequest {
         id: RequestId(id),
-        class,
-        plan: 1,
+        class: ClassIndex(class),
+        plan: PlanIndex(1),
         volume: VolumeId(u64::from(id)),
         volume_gateways: 1.0,
         block: Some(BlockId(u64::from(id))),
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -271,7 +271,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
         if may_still_run
-            && self.settings.classes[tracked.request.class].ordered_by_key
+            && self.settings.classes[tracked.request.class.0].ordered_by_key
             && let Some(block) = tracked.request.block
         {
             let until_us = self.now_us + self.settings.ordering_gap_us;
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -159,7 +159,7 @@
     /// The first attempts of a volume stay within its rate limit, over all gateways.
     fn check_rate_limit(&mut self, attempt: &NewAttempt) {
         let request = &self.requests[&attempt.request].request;
-        let Some(limit) = self.settings.plans[request.plan].rate_limit else { return };
+        let Some(limit) = self.settings.plans[request.plan.0].rate_limit else { return };
         let full = VolumeBucket { units: limit.burst, filled_at_us: SIMULATION_START_US };
         let bucket = self.volume_buckets.entry(request.volume).or_insert(full);
         let filled = bucket.units + limit.rate * (self.now_us - bucket.filled_at_us) as f64 / 1e6;
@@ -209,6 +209,6 @@
     }
 
     fn class_of(&self, tracked: &TrackedRequest) -> &RequestClass {
-        &self.settings.classes[tracked.request.class]
+        &self.settings.classes[tracked.request.class.0]
     }
 }
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -154,8 +154,11 @@
 #[test]
 fn rate_limited_requests_get_spread_retry_after_and_disconnected_clients_nothing() {
     let mut scheduler = scheduler_with_one_node(settings());
-    let of_one_volume =
-        |id| IncomingRequest { plan: 0, volume: VolumeId(3), ..incoming_request(id, 0, 0, 2 * SECOND) };
+    let of_one_volume = |id| IncomingRequest {
+        plan: PlanIndex(0),
+        volume: VolumeId(3),
+        ..incoming_request(id, 0, 0, 2 * SECOND)
+    };
     let arrivals: Vec<_> = (0..60).map(|id| Event::RequestArrived(of_one_volume(id))).collect();
     let actions = deliver(&mut scheduler, 2 * SECOND - 500_000, &arrivals);
     let retry_after_us: Vec<Option<u64>> =
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -40,7 +40,7 @@
     for id in 0..400 {
         let expires_at_us = fleet.now_us + 2_500_000;
         let request = IncomingRequest {
-            plan: 0,
+            plan: PlanIndex(0),
             volume: VolumeId(7),
             volume_gateways: 3.0,
             units: 1.0 + f64::from(id % 3),
@@ -51,7 +51,7 @@
     }
     for attempt in &fleet.sent {
         let tracked = &fleet.requests[&attempt.request];
-        let objective_us = fleet.settings.classes[tracked.request.class].latency_objective_us.unwrap();
+        let objective_us = fleet.settings.classes[tracked.request.class.0].latency_objective_us.unwrap();
         let waited_us = attempt.at_us - tracked.arrived_at_us;
         assert!(
             waited_us <= objective_us + 10_000,
--- a/tests/overloaded_nodes.rs
+++ b/tests/overloaded_nodes.rs
@@ -53,7 +53,7 @@
     for id in first_id..first_id + 200 {
         // Beyond any reservation, hence with a third of the weight.
         let expires_at_us = fleet.now_us + SECOND;
-        fleet.submit(0, IncomingRequest { plan: 0, ..incoming_request(id, 0, 0, expires_at_us) });
+        fleet.submit(0, IncomingRequest { plan: PlanIndex(0), ..incoming_request(id, 0, 0, expires_at_us) });
         fleet.run_for(50_000);
         for attempt in fleet.in_flight() {
             match node {
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -15,7 +15,7 @@
 /// A request of the volume with a rate limit whose requests come through all gateways.
 fn limited_request(id: u32, shard: u32, expires_at_us: u64) -> IncomingRequest {
     IncomingRequest {
-        plan: 0,
+        plan: PlanIndex(0),
         volume: VolumeId(7),
         volume_gateways: 3.0,
         ..incoming_request(id, 0, shard, expires_at_us)
@@ -263,7 +263,7 @@
     let mut fleet = fleet();
     fleet.run_for(5 * SECOND);
     let expires_at_us = fleet.now_us + SECOND;
-    let unlimited = IncomingRequest { plan: 1, ..limited_request(1, 0, expires_at_us) };
+    let unlimited = IncomingRequest { plan: PlanIndex(1), ..limited_request(1, 0, expires_at_us) };
     fleet.submit(0, limited_request(0, 0, expires_at_us));
     fleet.submit(0, unlimited);
     fleet.advance();
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -118,7 +118,7 @@
         let deadline_us = self.fleet.settings.classes[class].deadline_us;
         let expires_at_us = self.fleet.now_us + expires_after_us.min(deadline_us);
         let request = IncomingRequest {
-            plan,
+            plan: PlanIndex(plan),
             volume: VolumeId(volume * 2 + plan as u64),
             volume_gateways: GATEWAYS as f64,
             block: Some(BlockId(block)),
--- a/tests/scheduling_exceptions.rs
+++ b/tests/scheduling_exceptions.rs
@@ -201,13 +201,14 @@
     for settings in [zero_settings(Some(0)), zero_settings(None), empty_settings] {
         let mut scheduler = Scheduler::new(settings, 1, 10);
         let zero = IncomingRequest {
-            class: 0,
-            plan: 0,
+            class: ClassIndex(0),
+            plan: PlanIndex(0),
             units: 0.0,
             volume_gateways: 0.0,
             ..incoming_request(1, 0, 0, 5)
         };
-        let unknown = IncomingRequest { id: RequestId(2), class: 9, plan: 9, ..zero.clone() };
+        let unknown =
+            IncomingRequest { id: RequestId(2), class: ClassIndex(9), plan: PlanIndex(9), ..zero.clone() };
         let started_in_future = endpoint("n0", 0, EndpointState::Ready, u64::MAX / 4);
         let events = [
             Event::RequestArrived(zero),
