--- a/Makefile
+++ b/Makefile
@@ -4,6 +4,7 @@
 lint:
 	cargo fmt --check
 	cargo clippy --locked --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --no-deps --document-private-items
 test: lint build
 	cargo test --locked
 run: build
