--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -55,12 +55,12 @@
     /// When an answer no longer earns the full priority weight. A client with less time left than clients of
     /// its class usually have is assumed to have waited for the difference at another gateway.
     fn objective_at_us(&mut self, incoming: &IncomingRequest) -> u64 {
-        let class = &self.settings.class(incoming.class);
+        let class = self.settings.class(incoming.class);
         let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
         let longest_us = &mut self.longest_timeouts_us[incoming.class.0];
         *longest_us = (*longest_us).max(left_us.min(class.deadline_us));
         let began_at_us = self.now_us.saturating_sub(longest_us.saturating_sub(left_us));
-        // Any node stands for all: the stretch needs only the order of magnitude.
+        // The first node stands for all.
         let service_time_us =
             self.nodes.first().map_or(0.0, |node| node.service_time_per_unit_us * incoming.units);
         let stretch_us = (class.objective_stretch * service_time_us) as u64;
@@ -72,7 +72,7 @@
     /// the reservation, or admitted beyond it. A request that the rate limit cannot admit within its
     /// objective is rejected at once: queued, it would delay everything behind it.
     fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
-        let plan = &self.settings.plan(incoming.plan);
+        let plan = self.settings.plan(incoming.plan);
         let (gateways, max_units) = (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
         let started_at_us = self.started_at_us;
         let volume = self
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -63,7 +63,7 @@
     /// Records what the report tells of the volume's service through other gateways.
     fn record_volume_rates(&mut self, report: &AttemptReport) {
         let request = &self.requests[&report.request];
-        let plan = &self.settings.plan(request.plan);
+        let plan = self.settings.plan(request.plan);
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
         volume.advance(plan, self.now_us, self.settings.max_request_units);
         if self.settings.reports_other_gateways {
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -113,8 +113,7 @@
     ///
     /// EXCEPTION: where an attempt alone uses up the objective, several gateways fill the node's queue in
     /// order of arrival, and this gateway's ranking has no effect. The window then shrinks by one per
-    /// adjustment, down to one. Guards against slow nodes before several gateways; may leave a node idle
-    /// whose requests are merely large.
+    /// adjustment, down to one.
     pub(super) fn adjust(&mut self, uses_up_objective: bool, in_flight: u32) {
         // The attempt that has just ended is no longer in flight.
         let is_nearly_full = f64::from(in_flight) + 2.0 > self.limit;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -148,8 +148,8 @@
             return DispatchRank::PastObjective;
         }
         match (self.is_background(request), request.reserved) {
-            // Reserved background work joins the latency-bound side once it is past due and as pressing as
-            // that.
+            // Where the node is short, reserved background work competes with latency-bound work once it is
+            // pressing.
             (true, true) if is_short && self.is_pressing(request) => DispatchRank::LatencyBound,
             (true, true) => DispatchRank::ReservedBackground,
             (true, false) => DispatchRank::SurplusBackground,
@@ -175,8 +175,8 @@
 
     /// The priority of this request if it is sent to this node now, relative to the highest possible.
     fn priority(&self, request: &Request, node: &NodeState) -> f64 {
-        let class = &self.settings.class(request.class);
-        let plan = &self.settings.plan(request.plan);
+        let class = self.settings.class(request.class);
+        let plan = self.settings.plan(request.plan);
         let surplus_factor = if request.reserved { 1.0 } else { self.settings.fair_share_weight_factor };
         let late_factor = if self.would_be_late(request, node) { class.late_weight_factor } else { 1.0 };
         class.priority_weight * plan.priority_factor / self.max_priority * surplus_factor * late_factor
@@ -235,7 +235,7 @@
             return true;
         }
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return true };
-        let plan = &self.settings.plan(request.plan);
+        let plan = self.settings.plan(request.plan);
         volume.advance(plan, self.now_us, self.settings.max_request_units);
         volume.rate_limit_admits(plan, request.units)
     }
@@ -274,8 +274,7 @@
 
     /// EXCEPTION: at an overloaded node an attempt times out at its objective, if nodes honour cancellation.
     /// Non-idempotent requests are excluded, because their clients may be unable to retry; so are requests
-    /// with less time left than an attempt takes, which would only waste work. Guards against work that
-    /// nobody waits for any more; loses late answers.
+    /// with less time left than an attempt takes, which would only waste work.
     fn attempt_timeout_us(&self, id: RequestId, node: NodeIndex) -> Option<u64> {
         let (request, node) = (&self.requests[&id], &self.nodes[node]);
         let idempotency = self.settings.class(request.class).idempotency;
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -70,7 +70,7 @@
     }
 
     /// Holds back first attempts for a block until then: an attempt that has ended may still be running on
-    /// its node. Retries are not held back: they repeat what may be running.
+    /// its node. A retry is of the very request that may be running, and is not held back.
     fn delay(&mut self, block: BlockId, until_us: u64) {
         if let Some(queue) = self.0.get_mut(&block) {
             queue.not_before_us = queue.not_before_us.max(until_us);
