--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -1,48 +1,48 @@
-//! The administration API: JSON over HTTP.
+//! Requests and JSON documents of the administration API, which is JSON over HTTP.
 
 use serde::{Deserialize, Serialize};
 
-/// An operation of the administration.
+/// An operation of the administration API.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminOperation {
-    /// Report whether the gateway serves.
+    /// Report whether the gateway is serving or stopping.
     ReportHealth,
-    /// Report the counters.
+    /// Report the gateway's counters, by name.
     ReportCounters,
     /// List all tenants.
     ListTenants,
-    /// Show the tenant with this name.
+    /// Return the definition of the tenant with this name, without its token hash.
     ShowTenant(String),
-    /// Add or replace the tenant with this name; its definition is in the body.
+    /// Add or replace the tenant with this name; the request body contains a [`TenantDefinition`].
     PutTenant(String),
     /// Remove the tenant with this name.
     DeleteTenant(String),
-    /// List all storage nodes.
+    /// List all storage nodes in the inventory.
     ListNodes,
-    /// Drain the storage node with this name.
+    /// Drain the storage node with this name, at this gateway only.
     DrainNode(String),
-    /// Return the storage node with this name to the state that the inventory states.
+    /// End an operator's drain: the storage node with this name returns to its state in the inventory.
     ReturnNode(String),
-    /// Reload the inventory.
+    /// Read the inventory file again.
     ReloadInventory,
 }
 
-/// Why a request names no operation.
+/// Reasons why a request matches no operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
     /// No operation has this path.
     #[error("no such path")]
     UnknownPath,
-    /// Operations have this path, but none of them this method.
+    /// The path is known, but not with this method.
     #[error("no such method here")]
     MethodNotAllowed,
 }
 
-/// Decodes the operation from method and path.
+/// Decodes the operation from the method and path of a request.
 ///
 /// # Errors
 ///
-/// Returns an error if no operation has this path, or none with this path has this method.
+/// Returns an error if no operation has this path, or if the path does not support this method.
 pub fn decode(method: &str, path: &str) -> Result<AdminOperation, AdminRequestError> {
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     Ok(match (method, segments.as_slice()) {
@@ -71,50 +71,52 @@
     )
 }
 
-/// A tenant as an operator defines it, in the configuration and in requests to the administration.
+/// The definition of a tenant, in the configuration file and in requests to the administration API.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDefinition {
-    /// Its name; the administration takes it from the path.
+    /// The tenant's name, unique among tenants. The administration API takes it from the path; in a request
+    /// body it may be missing or empty, and must otherwise equal the name in the path.
     #[serde(default)]
     pub name: String,
-    /// The plan of its volumes.
+    /// Name of the service plan that applies to each of the tenant's volumes.
     pub plan: String,
-    /// Its volumes: the buckets of the object API.
+    /// Names of the tenant's volumes, which are buckets in the object API.
     pub volumes: Vec<String>,
-    /// The racks that hold its objects.
+    /// Names of the racks that store the tenant's objects; at least one.
     pub racks: Vec<String>,
-    /// The SHA-256 of its token, in hex. The token itself is never stored.
+    /// SHA-256 of the tenant's bearer token, as 64 hex digits. The token itself is never stored.
     pub token_sha256: String,
 }
 
-/// A tenant as the administration shows it, without its token.
+/// A tenant in responses of the administration API, without its token hash.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TenantView {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// The plan of its volumes.
+    /// Name of the service plan that applies to each of the tenant's volumes.
     pub plan: String,
-    /// Its volumes.
+    /// Names of the tenant's volumes, which are buckets in the object API.
     pub volumes: Vec<String>,
-    /// The racks that hold its objects.
+    /// Names of the racks that store the tenant's objects.
     pub racks: Vec<String>,
 }
 
-/// A storage node as the administration shows it.
+/// A storage node in responses of the administration API.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct NodeView {
-    /// Its name.
+    /// The node's name in the inventory.
     pub name: String,
-    /// Its address.
+    /// IP address and port on which the node listens.
     pub address: String,
-    /// Its zone.
+    /// Name of the node's zone, called `room` in the inventory and in the API; empty if the inventory states
+    /// none.
     #[serde(rename = "room")]
     pub zone: String,
-    /// Its rack.
+    /// Name of the node's rack.
     pub rack: String,
-    /// `ready`, `draining` or `gone`.
+    /// `ready`, `draining` or `gone`, including the effect of an operator's drain.
     pub state: &'static str,
-    /// Whether an operator has drained it at this gateway.
+    /// Whether an operator has drained the node at this gateway.
     pub drained_here: bool,
 }
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol between clients, gateways and storage nodes.
+//! Requests of the platform's protocol: decodes them from clients and encodes them for storage nodes.
 
 use super::common_headers::{
     DEADLINE, DEFAULT_HOST, IDEMPOTENCY_KEY, REQUEST_ID, encode_deadline, parse_timeout,
@@ -11,90 +11,94 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::time::Duration;
 
-/// The largest body that the platform allows, in bytes.
+/// Maximum size of a request or response body that the platform allows, in bytes.
 pub const MAX_BODY_LEN: usize = 64 * 1024;
-/// The length of the hexadecimal numbers of volumes and blocks, in digits.
+/// Number of hex digits in a volume or block number.
 const HEX_DIGITS: usize = 16;
-/// The shortest `Retry-After` given out: its three decimals would show less as zero.
+/// Minimum `Retry-After`, in microseconds. The header has three decimals, which could round a shorter time to
+/// zero.
 const MIN_RETRY_AFTER_US: u64 = 1_000;
-/// The client's headers that are forwarded to storage nodes.
+/// Names of the client's headers that are forwarded to storage nodes.
 const FORWARDED_HEADERS: [&str; 7] =
     ["host", REQUEST_ID, "req-kind", "tier", "io-info", IDEMPOTENCY_KEY, "req-retry"];
 
-/// The names that requests use for the classes and plans that the settings number.
+/// Maps the class and plan names in requests to their indices in the scheduler's settings.
 #[derive(Clone, Debug)]
 pub struct NameTable {
-    /// The classes, in order of their numbers.
+    /// The request classes, ordered by class index.
     pub classes: Vec<NamedClass>,
-    /// The names of the plans, in order of their numbers.
+    /// Names of the service plans, ordered by plan index.
     pub plans: Vec<String>,
 }
 
-/// A request class as requests name it.
+/// A request class, and the requirements that its requests must meet.
 #[derive(Clone, Debug)]
 pub struct NamedClass {
-    /// Its name.
+    /// Value of the `Req-Kind` header that selects the class.
     pub name: String,
-    /// Whether its requests write, if the settings state it.
+    /// Whether requests of the class are writes (PUT) or reads (GET); `None` if the settings do not specify
+    /// it, in which case both methods are accepted.
     pub writes: Option<bool>,
-    /// Whether its requests carry an idempotency key.
+    /// Whether requests of the class must have an `Idempotency-Key` header.
     pub requires_idempotency_key: bool,
 }
 
-/// Why a client's request cannot be decoded.
+/// Reasons why a client's request cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// Neither a read nor a write.
+    /// The method is neither GET nor PUT.
     #[error("the method is neither GET nor PUT")]
     UnsupportedMethod,
-    /// The method is not that of the class.
+    /// The class requires the other method: reads use GET, writes use PUT.
     #[error("reads use GET, writes use PUT")]
     MethodMismatch,
-    /// The body's length is stated ambiguously: another request could be smuggled in it.
+    /// The length of the body is ambiguous, which would allow request smuggling.
     #[error("the body's length is to be stated once, or its chunks tell it")]
     AmbiguousLength,
-    /// A header is missing, repeated or malformed.
+    /// The header with this name is missing, repeated or malformed.
     #[error("{0} is missing or malformed")]
     InvalidHeader(&'static str),
-    /// The path names no block.
+    /// The path does not end in a block number of 16 hex digits.
     #[error("the path does not end in 16 hex digits")]
     InvalidBlock,
-    /// The settings have no such class.
+    /// The settings define no class with the name in `Req-Kind`.
     #[error("unknown Req-Kind")]
     UnknownClass,
-    /// The settings have no such plan.
+    /// The settings define no plan with the name in `Tier`.
     #[error("unknown Tier")]
     UnknownPlan,
 }
 
-/// What the head of a client's request states.
+/// The contents of the head of a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedRequest {
-    /// The class.
+    /// Index of the request class, from `Req-Kind`.
     pub class: ClassIndex,
-    /// The plan.
+    /// Index of the volume's service plan, from `Tier`.
     pub plan: PlanIndex,
-    /// The volume.
+    /// Number of the volume, from `IO-Info`.
     pub volume: VolumeId,
-    /// How many gateways the volume's requests come through.
+    /// Number of gateways that receive requests for the volume, from `IO-Info` (`hosts`); finite and not
+    /// negative.
     pub volume_gateways: f64,
-    /// The block.
+    /// Number of the block to read or write, from the last segment of the path.
     pub block: BlockId,
-    /// The shard that holds the block; none for a new object.
+    /// The shard that stores the block; `None` for a new object, for which `IO-Info` contains a negative
+    /// number.
     pub shard: Option<ShardId>,
-    /// The size in units.
+    /// Size of the request in units; finite and above 0.
     pub units: f64,
-    /// How long the client waits, in microseconds.
+    /// Time for which the client waits for the response, in microseconds, from `Req-Deadline`.
     pub timeout_us: u64,
 }
 
-/// Decodes the head of a client's request. `conflicting_length` says whether the connection found that the
-/// head states the body's length in conflicting ways.
+/// Decodes the head of a client's request. `conflicting_length` tells whether the connection has found
+/// conflicting headers for the length of the body.
 ///
 /// # Errors
 ///
-/// Returns an error if a part of the head is missing, malformed or ambiguous, or names an unknown class or
-/// plan.
+/// Returns an error if a required part of the head is missing, malformed or ambiguous, or if the class or
+/// plan is unknown.
 pub fn decode(
     head: &Parts,
     conflicting_length: bool,
@@ -122,13 +126,15 @@
     }
 }
 
-/// Whether the body's transfer coding is one that the gateway undoes: storage nodes get a plain length. Reads
-/// have no body to send in chunks.
+/// Returns whether the body has no transfer coding, or a single `chunked` coding on a PUT. The gateway
+/// decodes the chunks and sends storage nodes a `Content-Length`. Reads have no body to send in chunks.
 fn has_supported_coding(head: &Parts) -> bool {
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
     match (codings.next(), codings.next()) {
         (None, _) => true,
-        (Some(only), None) => only.as_bytes().eq_ignore_ascii_case(b"chunked") && head.method == Method::PUT,
+        (Some(value), None) => {
+            value.as_bytes().eq_ignore_ascii_case(b"chunked") && head.method == Method::PUT
+        }
         _ => false,
     }
 }
@@ -162,7 +168,7 @@
     parse_timeout(single_header(&head.headers, DEADLINE)?).ok_or(RequestError::InvalidHeader(DEADLINE))
 }
 
-/// The value of a header that must occur exactly once.
+/// Returns the value of a header that must occur exactly once.
 fn single_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
@@ -172,12 +178,12 @@
 }
 
 fn parse_hex(digits: &str) -> Option<u64> {
-    // The parser alone would also accept a sign.
-    let is_plain = digits.len() == HEX_DIGITS && digits.bytes().all(|digit| digit.is_ascii_hexdigit());
-    is_plain.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
+    // `from_str_radix` alone would also accept a leading sign.
+    let is_hex_number = digits.len() == HEX_DIGITS && digits.bytes().all(|digit| digit.is_ascii_hexdigit());
+    is_hex_number.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
 }
 
-/// The fields of the `io-info` header, such as `volume=…, units=2, shard=0, hosts=3`.
+/// The fields of the `IO-Info` header, such as `volume=…, units=2, shard=0, hosts=3`.
 struct IoInfo {
     volume: VolumeId,
     volume_gateways: f64,
@@ -186,7 +192,8 @@
 }
 
 impl IoInfo {
-    /// None if a field is missing or malformed; unknown fields are ignored.
+    /// Parses the value of the header; returns `None` if a field is missing or malformed. Unknown fields are
+    /// ignored.
     fn parse(text: &str) -> Option<IoInfo> {
         let (mut volume, mut volume_gateways, mut shard, mut units) = (None, None, None, None);
         for (name, value) in text.split(',').filter_map(|field| field.split_once('=')) {
@@ -200,7 +207,7 @@
             }
         }
         let shard = match shard? {
-            // A new object, which no shard holds yet.
+            // A negative number marks a new object, which no shard stores yet.
             ..=-1 => None,
             number => Some(ShardId(u32::try_from(number).ok()?)),
         };
@@ -212,17 +219,19 @@
     text.parse::<f64>().ok().filter(|number| number.is_finite())
 }
 
-/// A client's request, kept to be forwarded to storage nodes.
+/// A client's request, stored for forwarding to storage nodes. Each attempt encodes it anew.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
-    /// Its head.
+    /// The head as the client sent it.
     pub head: Parts,
-    /// Its body.
+    /// The complete body, with any transfer coding removed; at most [`MAX_BODY_LEN`] bytes.
     pub body: Bytes,
 }
 
-/// Encodes a request to a storage node: method, path, query, body and ids are the client's, the deadline is
-/// the time that the gateway will still wait.
+/// Encodes a client's request for one attempt at a storage node.
+///
+/// The method, path, query, body and forwarded headers, which include the request id and the idempotency key,
+/// are the client's. The deadline is `remaining`: the time for which the gateway will still wait.
 pub fn encode(forwarded: &ForwardedRequest, remaining: Duration) -> Request<Full<Bytes>> {
     let ForwardedRequest { head, body } = forwarded;
     let mut request = Request::new(Full::new(body.clone()));
@@ -244,7 +253,8 @@
     request
 }
 
-/// Encodes a response to a client, with a `Retry-After` if one is given, in microseconds.
+/// Encodes a response to a client. `retry_after_us` is its `Retry-After` in microseconds; `None` to send
+/// none.
 pub fn response(status: StatusCode, body: impl Into<Bytes>, retry_after_us: Option<u64>) -> Response<Bytes> {
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
@@ -254,7 +264,7 @@
     response
 }
 
-/// Seconds with three decimals, which the platform's clients read.
+/// Encodes a `Retry-After` in seconds with three decimals, which the platform's clients accept.
 fn encode_retry_after(retry_after_us: u64) -> HeaderValue {
     let seconds = retry_after_us.max(MIN_RETRY_AFTER_US) as f64 / 1e6;
     format!("{seconds:.3}").try_into().expect("digits are a valid header value")
--- a/src/protocol/common_headers.rs
+++ b/src/protocol/common_headers.rs
@@ -1,25 +1,27 @@
-//! The headers that requests to storage nodes have in common, whatever the client's protocol.
+//! Headers of requests to storage nodes that the platform's protocol and the object API share.
 
 use hyper::header::HeaderValue;
 use std::time::Duration;
 
-/// The id of a request, unique among those in progress.
+/// Header with the id of a request. The id is unique among the requests in progress at a gateway.
 pub const REQUEST_ID: &str = "req-id";
-/// The key by which storage nodes recognize a repeated write.
+/// Header with the key by which storage nodes recognize and drop a repeated write.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// How long the sender of a request waits.
+/// Header with the time for which the sender of a request waits for the response; see [`parse_timeout`] for
+/// its format.
 pub const DEADLINE: &str = "req-deadline";
-/// The host named to a storage node where the client names none.
+/// `Host` header of requests to storage nodes. The platform's front end sends it only if the client's request
+/// has no `Host`; the object front end always sends it.
 pub const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("origin.svc");
 
-/// Encodes the time that is left for a request, in microseconds such as `480000u`.
+/// Encodes the remaining time for a request in microseconds, such as `480000u`.
 pub fn encode_deadline(remaining: Duration) -> HeaderValue {
     let text = format!("{}u", remaining.as_micros());
     text.try_into().expect("digits are a valid header value")
 }
 
-/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds) to microseconds; none if it is
-/// malformed.
+/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds) and returns it in microseconds.
+/// Returns `None` if it is malformed or too large.
 pub fn parse_timeout(text: &str) -> Option<u64> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let factor = match unit {
--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it: the request for it, and its JSON.
+//! The endpoint list of the discovery service: encodes requests for the list and decodes its JSON.
 
 use crate::scheduler::{Endpoint, EndpointState, ShardId, ZoneId};
 use bytes::Bytes;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The latest start of a process that is accepted: the end of the year 9999, in Unix time and milliseconds.
+/// Latest accepted start time of a process, in Unix time in milliseconds: the end of the year 9999.
 pub const MAX_START_MS: u64 = 253_402_300_799_000;
 
 #[derive(Deserialize)]
@@ -30,26 +30,27 @@
     since_ms: u64,
 }
 
-/// A storage node as discovery describes it.
+/// An entry of the endpoint list: one storage node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its name.
+    /// The node's name, by which later lists refer to the same node.
     pub name: String,
-    /// Where this gateway reaches it.
+    /// IP address and port at which this gateway connects to the node.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// Name of the node's zone; empty if the list states none.
     pub zone: String,
-    /// The shard that it holds.
+    /// The shard that the node stores.
     pub shard: ShardId,
-    /// Whether it accepts work.
+    /// Whether the node is in service, draining or removed.
     pub state: EndpointState,
-    /// When its process last started, in Unix time and microseconds, if that was not long ago.
+    /// When the node's process last started, in Unix time in microseconds; `None` if the list states no time
+    /// or 0, which means that the node is not warming up.
     pub started_at_us: Option<u64>,
 }
 
 impl EndpointRecord {
-    /// The endpoint as the scheduler knows it. Zones are numbered in the order of these names; a zone that is
-    /// not among them gets the number after the last.
+    /// Converts the record for the scheduler. The zone's number is the position of its name in `zones`; a
+    /// zone that is not in `zones` gets the number after the last.
     pub fn to_endpoint(&self, zones: &[String]) -> Endpoint {
         let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
         Endpoint {
@@ -62,45 +63,45 @@
     }
 }
 
-/// Which endpoints a list names.
+/// Whether a list is complete or contains only changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// All of them.
+    /// The list contains all endpoints; an endpoint that is not in it is removed.
     Snapshot,
-    /// Those that changed.
+    /// The list contains only the endpoints that changed.
     Delta,
 }
 
-/// The endpoint list, or changes to it.
+/// A complete endpoint list, or a list of changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The list's version.
+    /// Version of the list, to pass to [`watch_request`] for later changes.
     pub version: u64,
-    /// Which endpoints it names.
+    /// Whether `endpoints` contains all endpoints or only those that changed.
     pub kind: ListKind,
-    /// The endpoints.
+    /// The entries, in the order in which discovery sent them.
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// Why an endpoint list cannot be decoded.
+/// Reasons why an endpoint list cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointListError {
-    /// It is not JSON, or not that of a list.
+    /// The text is not JSON, or does not have the fields of an endpoint list.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// An endpoint has a status that is not defined.
+    /// The status of an endpoint is not `Ready`, `Terminating` or `Gone`.
     #[error("unknown status '{0}'")]
     UnknownStatus(String),
-    /// An endpoint's process started later than [`MAX_START_MS`], in Unix time and milliseconds.
-    #[error("since_ms {0} is beyond reason")]
+    /// The start time of an endpoint's process, in Unix time in milliseconds, is after [`MAX_START_MS`].
+    #[error("since_ms {0} is after the year 9999")]
     StartTooLate(u64),
 }
 
-/// Decodes a list, which is valid as a whole or not at all.
+/// Decodes an endpoint list. One invalid entry invalidates the complete list.
 ///
 /// # Errors
 ///
-/// Returns an error if the JSON is malformed, a status is unknown, or a start lies beyond [`MAX_START_MS`].
+/// Returns an error if the JSON is malformed, a status is unknown, or a start time is after [`MAX_START_MS`].
 pub fn decode(json: &[u8]) -> Result<EndpointList, EndpointListError> {
     let list: WireList = serde_json::from_slice(json)?;
     Ok(EndpointList {
@@ -117,7 +118,7 @@
         "Gone" => EndpointState::Removed,
         other => return Err(EndpointListError::UnknownStatus(other.to_owned())),
     };
-    // The scheduler adds to this time: a larger one could overflow there.
+    // The scheduler adds durations to this time; the limit prevents an overflow there.
     if wire.since_ms > MAX_START_MS {
         return Err(EndpointListError::StartTooLate(wire.since_ms));
     }
@@ -131,8 +132,8 @@
     })
 }
 
-/// Encodes the request for changes after this version, which discovery answers after at most `wait`; or for
-/// the complete list, if no version is known.
+/// Encodes a request to discovery for the changes after version `after`, or for the complete list if `after`
+/// is `None`. Discovery responds to a request for changes once there are any, after at most `wait`.
 pub fn watch_request(discovery: SocketAddr, after: Option<u64>, wait: Duration) -> Request<Full<Bytes>> {
     let query =
         after.map_or(String::new(), |version| format!("?after={version}&wait_ms={}", wait.as_millis()));
--- a/src/protocol/health.rs
+++ b/src/protocol/health.rs
@@ -1,6 +1,6 @@
-//! The paths of the health checks.
+//! Paths of the health checks.
 
-/// The path of the readiness check: whether the gateway takes requests.
+/// Path of the readiness check, which reports whether the gateway accepts requests.
 pub const READINESS_PATH: &str = "/health/ready";
-/// The path of the liveness check: whether the gateway runs.
+/// Path of the liveness check, which reports whether the gateway process is running.
 pub const LIVENESS_PATH: &str = "/health/live";
--- a/src/protocol/inventory/csv.rs
+++ b/src/protocol/inventory/csv.rs
@@ -1,23 +1,23 @@
-//! Inventories as comma-separated values.
+//! Decodes inventories in CSV format, with one row for each storage node.
 
 use super::{Field, Fields, InventoryFault, Row};
 
-/// The columns that every file must have.
+/// Columns that every file must have.
 const REQUIRED_COLUMNS: [&str; 3] = ["name", "address", "rack"];
 
 /// Decodes the rows of a file. Empty cells count as missing, and unknown columns are ignored.
 ///
 /// # Errors
 ///
-/// Returns an error if columns are missing or a row is malformed: that of the first such row.
+/// Returns an error for each required column that is missing, or an error for the first malformed row.
 pub fn decode_rows(text: &str) -> Result<Vec<Row>, Vec<InventoryFault>> {
     let mut reader =
         csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
-    let header = reader.headers().map_err(malformed)?.clone();
+    let header = reader.headers().map_err(malformed_row)?.clone();
     check_columns(&header)?;
     reader
         .records()
-        .map(|record| record.map(|record| decode_row(&header, &record)).map_err(malformed))
+        .map(|record| record.map(|record| decode_row(&header, &record)).map_err(malformed_row))
         .collect()
 }
 
@@ -43,7 +43,7 @@
     Row { name, line, fields }
 }
 
-fn malformed(error: csv::Error) -> Vec<InventoryFault> {
+fn malformed_row(error: csv::Error) -> Vec<InventoryFault> {
     vec![InventoryFault::new(line_of(error.position()), "row", error.to_string())]
 }
 
--- a/src/protocol/inventory/mod.rs
+++ b/src/protocol/inventory/mod.rs
@@ -1,5 +1,8 @@
-//! The inventory of storage nodes, in the forms in which configuration tools keep it: CSV with a row for each
-//! node, or YAML with Ansible's groups of hosts, vars and children. A file is valid as a whole or not at all.
+//! Decodes and validates the operator's inventory of storage nodes.
+//!
+//! An inventory file is in one of the formats that configuration tools write: CSV with one row for each node,
+//! or an Ansible inventory in YAML, with groups that have hosts, vars and children. One fault invalidates the
+//! complete file.
 
 mod csv;
 mod validation;
@@ -18,14 +21,14 @@
 /// The format of an inventory file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Comma-separated values with a header row.
+    /// Comma-separated values with a header row, in files with the extension `csv`.
     Csv,
-    /// An Ansible inventory.
+    /// An Ansible inventory in YAML, in files with the extension `yaml` or `yml`.
     Yaml,
 }
 
 impl Format {
-    /// The format that the file's extension stands for.
+    /// Returns the format for the file's extension; `None` if the extension is missing or unknown.
     pub fn from_path(path: &Path) -> Option<Format> {
         match path.extension()?.to_str()? {
             "csv" => Some(Format::Csv),
@@ -35,15 +38,16 @@
     }
 }
 
-/// One fault of an inventory file.
+/// A fault in an inventory file. The administration API returns it as JSON, with these fields.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, serde::Serialize)]
 #[error("line {line}, {field}: {message}")]
 pub struct InventoryFault {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The field.
+    /// Name of the column, variable or group with the fault; `row` or `document` if the file cannot be parsed
+    /// there.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the fault.
     pub message: String,
 }
 
@@ -53,24 +57,25 @@
     }
 }
 
-/// A storage node as the inventory describes it.
+/// A storage node in a valid inventory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InventoryNode {
-    /// Its name.
+    /// The node's name: unique in the inventory, and valid according to [`is_plain_name`].
     pub name: String,
-    /// Where it listens.
+    /// IP address and port on which the node listens; unique in the inventory.
     pub address: SocketAddr,
-    /// Its zone, which the file calls `room`; empty if it states none.
+    /// Name of the node's zone, called `room` in the file; empty if the file states none.
     pub zone: String,
-    /// Its rack; all nodes of a rack store the same data.
+    /// Name of the node's rack. All nodes of a rack store the same data.
     pub rack: String,
-    /// Whether it accepts work.
+    /// Whether the node is in service (the default), draining or removed.
     pub state: EndpointState,
-    /// When its process last started, in Unix time and microseconds, if that was not long ago.
+    /// When the node's process last started, in Unix time in microseconds; `None` if the file states no time
+    /// or 0.
     pub started_at_us: Option<u64>,
 }
 
-/// A node before validation: where the file names it, and its fields.
+/// A storage node before validation: its name, its line in the file and its fields.
 #[derive(Clone, Default)]
 struct Row {
     name: String,
@@ -78,7 +83,7 @@
     fields: Fields,
 }
 
-/// The fields of a node by name.
+/// The fields of a storage node, by column or variable name.
 type Fields = BTreeMap<String, Field>;
 
 #[derive(Clone, Default)]
@@ -87,11 +92,12 @@
     line: usize,
 }
 
-/// Decodes and validates a file.
+/// Decodes and validates the text of an inventory file.
 ///
 /// # Errors
 ///
-/// Returns an error if the file is malformed, or its nodes are not valid: then all their faults are listed.
+/// Returns an error if the file is malformed or any of its nodes is invalid. The faults of all invalid nodes
+/// are returned together.
 pub fn decode(text: &str, format: Format) -> Result<Vec<InventoryNode>, Vec<InventoryFault>> {
     let rows = match format {
         Format::Csv => csv::decode_rows(text)?,
--- a/src/protocol/inventory/tests.rs
+++ b/src/protocol/inventory/tests.rs
@@ -17,14 +17,14 @@
 ";
 
 #[test]
-fn both_formats_decode_alike() {
+fn csv_and_yaml_decode_to_the_same_nodes() {
     let csv = "name,address,room,rack,state,owner\n\
                node-1,127.0.0.1:9000,room-a,r1,,x\n\
                node-2,127.0.0.2:9000,room-b,r1,draining,\n\
                node-3,127.0.0.3:9100,room-a,r2,ready,y\n";
-    let of_yaml = decode(YAML, Format::Yaml).unwrap();
-    assert_eq!(of_yaml, decode(csv, Format::Csv).unwrap());
-    assert_eq!((of_yaml[1].rack.as_str(), of_yaml[1].state), ("r1", EndpointState::Draining));
+    let from_yaml = decode(YAML, Format::Yaml).unwrap();
+    assert_eq!(from_yaml, decode(csv, Format::Csv).unwrap());
+    assert_eq!((from_yaml[1].rack.as_str(), from_yaml[1].state), ("r1", EndpointState::Draining));
 }
 
 #[test]
--- a/src/protocol/inventory/validation.rs
+++ b/src/protocol/inventory/validation.rs
@@ -1,4 +1,4 @@
-//! What every inventory must satisfy, in whatever format it is written.
+//! Validates inventories, independently of their file format.
 
 use super::{Field, InventoryFault, InventoryNode, Row};
 use crate::protocol::endpoint_list::MAX_START_MS;
@@ -6,21 +6,21 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME_LEN: usize = 64;
 
-/// Whether a name can stand unescaped in paths, ids and log lines.
+/// Returns whether a name needs no escaping in paths, ids and log lines: it has 1 to 64 characters, all of
+/// them ASCII letters, digits, `-`, `_` or `.`.
 pub fn is_plain_name(name: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     (1..=MAX_NAME_LEN).contains(&name.len()) && name.bytes().all(is_plain)
 }
 
-/// Validates the rows of a file.
+/// Validates the rows of an inventory file.
 ///
 /// # Errors
 ///
-/// Returns an error if the file names no node, or any node is not valid: then the faults of all nodes are
-/// listed.
+/// Returns an error if the file contains no node, or the faults of all nodes if any node is invalid.
 pub fn validate(rows: Vec<Row>) -> Result<Vec<InventoryNode>, Vec<InventoryFault>> {
     let mut validator = Validator::default();
     if rows.is_empty() {
@@ -30,7 +30,7 @@
     if validator.errors.is_empty() { Ok(nodes) } else { Err(validator.errors) }
 }
 
-/// What the rows so far have named, and their faults.
+/// The names and addresses of the rows validated so far, and the faults found in them.
 #[derive(Default)]
 struct Validator {
     names: BTreeSet<String>,
@@ -39,7 +39,8 @@
 }
 
 impl Validator {
-    /// None if the node is not valid. All fields are checked, so that all faults are reported at once.
+    /// Validates one node and records its faults; returns `None` if there are any. Checks all fields even
+    /// after a fault, so that the operator sees all faults at once.
     fn validate_node(&mut self, row: &Row) -> Option<InventoryNode> {
         let name = self.validate_name(row);
         let name = self.record_error(name);
@@ -107,7 +108,8 @@
     }
 }
 
-/// When the node's process last started, in Unix time and microseconds; none if the file states 0 or nothing.
+/// Returns when the node's process last started, in Unix time in microseconds; `None` if the file states no
+/// time or 0.
 fn validate_start(row: &Row) -> Result<Option<u64>, InventoryFault> {
     let Field { value, line } = field(row, "since_ms");
     if value.is_empty() {
@@ -122,7 +124,7 @@
     }
 }
 
-/// The field with this name; an empty one at the row's line if it is missing.
+/// Returns the field with this name, or an empty field at the row's line if the row has no such field.
 fn field(row: &Row, name: &str) -> Field {
     let missing = || Field { value: String::new(), line: row.line };
     row.fields.get(name).cloned().unwrap_or_else(missing)
--- a/src/protocol/inventory/yaml.rs
+++ b/src/protocol/inventory/yaml.rs
@@ -1,18 +1,18 @@
-//! Inventories as Ansible writes them: groups with hosts, vars and children.
+//! Decodes Ansible inventories in YAML: groups with hosts, vars and children.
 
 use super::{Field, Fields, InventoryFault, Row};
 use saphyr::{LoadableYamlNode, MarkedYaml, Scalar, YamlData};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// The keys that a group may have.
+/// Keys that a group may have.
 const GROUP_KEYS: [&str; 3] = ["hosts", "vars", "children"];
 
-/// Decodes the hosts of a file, in order of their names.
+/// Decodes the hosts of a file, sorted by name.
 ///
 /// # Errors
 ///
-/// Returns an error if the file is malformed: that of the first such place.
+/// Returns an error for the first malformed part of the file.
 pub fn decode_rows(text: &str) -> Result<Vec<Row>, InventoryFault> {
     let documents = MarkedYaml::load_from_str(text)
         .map_err(|error| InventoryFault::new(error.marker().line(), "document", error.to_string()))?;
@@ -27,45 +27,46 @@
 
 /// A host's entry in one group.
 struct Membership {
-    /// How deep the group is nested.
+    /// Nesting depth of the group; 0 at the top level.
     depth: usize,
     host: String,
     line: usize,
-    /// The variables of the group and of those around it.
-    inherited: Fields,
-    /// The host's own variables.
-    own: Fields,
+    /// The variables of the group and of its ancestors. Those of the group take precedence.
+    group_vars: Fields,
+    /// The variables that the entry itself sets for the host.
+    host_vars: Fields,
 }
 
 fn collect_memberships(
     group: &Entry,
     depth: usize,
-    inherited: &Fields,
+    inherited_vars: &Fields,
     memberships: &mut Vec<Membership>,
 ) -> Result<(), InventoryFault> {
-    let parts = decode_mapping(group.value, &group.name)?;
-    check_group_keys(&group.name, &parts)?;
-    let part = |key: &str| parts.iter().find(|part| part.name == key).map(|part| part.value);
-    let mut inherited = inherited.clone();
-    if let Some(vars) = part("vars") {
-        inherited.extend(decode_vars(vars, "vars")?);
+    let sections = decode_mapping(group.value, &group.name)?;
+    check_group_keys(&group.name, &sections)?;
+    let section =
+        |key: &str| sections.iter().find(|section| section.name == key).map(|section| section.value);
+    let mut group_vars = inherited_vars.clone();
+    if let Some(vars) = section("vars") {
+        group_vars.extend(decode_vars(vars, "vars")?);
     }
-    if let Some(hosts) = part("hosts") {
+    if let Some(hosts) = section("hosts") {
         for Entry { name: host, line, value } in decode_mapping(hosts, "hosts")? {
-            let own = decode_vars(value, &host)?;
-            memberships.push(Membership { depth, host, line, inherited: inherited.clone(), own });
+            let host_vars = decode_vars(value, &host)?;
+            memberships.push(Membership { depth, host, line, group_vars: group_vars.clone(), host_vars });
         }
     }
-    if let Some(children) = part("children") {
+    if let Some(children) = section("children") {
         for child in decode_mapping(children, "children")? {
-            collect_memberships(&child, depth + 1, &inherited, memberships)?;
+            collect_memberships(&child, depth + 1, &group_vars, memberships)?;
         }
     }
     Ok(())
 }
 
-fn check_group_keys(group: &str, parts: &[Entry]) -> Result<(), InventoryFault> {
-    match parts.iter().find(|part| !GROUP_KEYS.contains(&part.name.as_str())) {
+fn check_group_keys(group: &str, sections: &[Entry]) -> Result<(), InventoryFault> {
+    match sections.iter().find(|section| !GROUP_KEYS.contains(&section.name.as_str())) {
         Some(unknown) => {
             let message = format!("group {group} may have hosts, vars and children only");
             Err(InventoryFault::new(unknown.line, &unknown.name, message))
@@ -74,8 +75,8 @@
     }
 }
 
-/// Merges the memberships of each host. Variables of deeper groups take precedence over those of shallower
-/// ones, and the host's own over all.
+/// Merges the memberships of each host into one row. Variables of a deeper group take precedence over those
+/// of a shallower group, and variables of the host itself over those of all groups.
 fn merge_memberships(mut memberships: Vec<Membership>) -> BTreeMap<String, Row> {
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
     memberships.sort_by_key(|membership| membership.depth);
@@ -85,15 +86,16 @@
             line: membership.line,
             fields: Fields::new(),
         });
-        row.fields.extend(membership.inherited.clone());
+        row.fields.extend(membership.group_vars.clone());
     }
     for membership in memberships {
-        rows.entry(membership.host).or_default().fields.extend(membership.own);
+        rows.entry(membership.host).or_default().fields.extend(membership.host_vars);
     }
     rows
 }
 
-/// Sets the address from Ansible's separate variables for host and port, unless it is stated itself.
+/// Sets `address` from Ansible's variables `ansible_host` and `port`, unless the row has an `address`
+/// already.
 fn with_address(mut row: Row) -> Row {
     let field = |name: &str| row.fields.get(name).cloned();
     if let (None, Some(host), Some(port)) = (field("address"), field("ansible_host"), field("port")) {
@@ -106,14 +108,14 @@
     row
 }
 
-/// An entry of a mapping.
+/// An entry of a YAML mapping, with the line of its key.
 struct Entry<'a> {
     name: String,
     line: usize,
     value: &'a MarkedYaml<'a>,
 }
 
-/// The entries of a mapping; a null counts as an empty one.
+/// Returns the entries of a mapping; a null counts as an empty mapping.
 fn decode_mapping<'a>(node: &'a MarkedYaml<'a>, field: &str) -> Result<Vec<Entry<'a>>, InventoryFault> {
     match &node.data {
         YamlData::Mapping(map) => map.iter().map(|(key, value)| decode_entry(key, value, field)).collect(),
@@ -133,7 +135,8 @@
     Ok(Entry { name, line, value })
 }
 
-/// The variables of a group or host; those that are not scalars belong to other tools and are ignored.
+/// Returns the variables of a group or host. Variables that are not scalars belong to other tools and are
+/// ignored.
 fn decode_vars(node: &MarkedYaml, field: &str) -> Result<Fields, InventoryFault> {
     let to_field =
         |Entry { name, line, value }: Entry| Some((name, Field { value: decode_scalar(value)?, line }));
@@ -145,7 +148,7 @@
         YamlData::Value(Scalar::String(text)) => Some(text.to_string()),
         YamlData::Value(Scalar::Integer(number)) => Some(number.to_string()),
         YamlData::Value(Scalar::FloatingPoint(number)) => Some(number.to_string()),
-        YamlData::Value(Scalar::Boolean(truth)) => Some(truth.to_string()),
+        YamlData::Value(Scalar::Boolean(boolean)) => Some(boolean.to_string()),
         _ => None,
     }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,12 +1,13 @@
-//! The messages of all protocols. Each is decoded once, into a small typed value with typed errors, and
-//! encoded once; nothing here touches a socket.
+//! Decodes and encodes the messages of all protocols, without any I/O. Each kind of message has one decoder,
+//! which returns a small typed value or a typed error, and one encoder.
 //!
 //! - [`client_request`], [`node_response`] and [`endpoint_list`]: the platform's protocol, between clients,
 //!   gateways, storage nodes and discovery;
-//! - [`settings`]: the platform's settings, which the simulator sends as well;
+//! - [`settings`]: the platform's settings, which the simulator also sends;
 //! - [`object`]: the object API;
-//! - [`common_headers`] and [`health`]: what the protocols have in common;
-//! - [`admin`] and [`inventory`]: what an operator sends and keeps.
+//! - [`common_headers`] and [`health`]: headers and paths that the protocols share;
+//! - [`admin`]: the administration API, for operators;
+//! - [`inventory`]: the operator's files that list the storage nodes.
 
 pub mod admin;
 pub mod client_request;
--- a/src/protocol/node_response/mod.rs
+++ b/src/protocol/node_response/mod.rs
@@ -1,4 +1,5 @@
-//! The heads of storage nodes' responses, which are the same for every protocol.
+//! Parses the heads of storage nodes' responses, which are the same in the platform's protocol and the object
+//! API.
 
 #[cfg(test)]
 mod tests;
@@ -6,23 +7,26 @@
 use crate::scheduler::{AttemptOutcome, LoadReport};
 use hyper::{HeaderMap, StatusCode};
 
-/// The largest number that a node may report; one beyond it would mislead the scheduler.
+/// Maximum number that a node may report. Larger numbers would mislead the scheduler and are ignored.
 const MAX_REPORTED_NUMBER: f64 = 1e6;
 
-/// What the head of a response states, beside what is meant for the client.
+/// The information for the scheduler in the head of a storage node's response.
 #[derive(Clone, Debug)]
 pub struct NodeResponseHead {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The volume's metered rate in percent of its plan's provisioned rate, where reported.
+    /// The volume's metered rate in percent of its plan's provisioned rate, from `Volume-Load`; `None` if not
+    /// reported.
     pub volume_rate_percent: Option<f64>,
-    /// Units that the node served the volume through other gateways; 0 where not reported.
+    /// Units that the node has served for the volume through other gateways, from `Other-Hosts`; 0 if not
+    /// reported.
     pub units_via_other_gateways: f64,
-    /// The load report.
+    /// The node's load report, from `Srv-Load`; empty if not reported.
     pub load: LoadReport,
 }
 
-/// Parses the head of a response. `is_served` says with which statuses the node has served the request.
+/// Parses the head of a response. `is_served` returns whether a status means that the node has served the
+/// request.
 pub fn parse_response_head(
     status: StatusCode,
     headers: &HeaderMap,
@@ -48,7 +52,7 @@
             AttemptOutcome::Rejected
         }
         _ if is_served(status) => AttemptOutcome::Succeeded,
-        // No other status proves that the request never ran.
+        // Only a declined request is known not to have run.
         _ => AttemptOutcome::Failed,
     }
 }
@@ -57,8 +61,8 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Parses a number; none if it is malformed, negative or beyond [`MAX_REPORTED_NUMBER`]. A malformed report
-/// must neither invalidate the response that carries it nor mislead the scheduler.
+/// Parses a number; returns `None` if it is malformed, negative or above [`MAX_REPORTED_NUMBER`]. A malformed
+/// report must neither invalidate the response that contains it nor mislead the scheduler.
 fn parse_bounded_number(text: &str) -> Option<f64> {
     text.trim().parse::<f64>().ok().filter(|number| (0.0..=MAX_REPORTED_NUMBER).contains(number))
 }
--- a/src/protocol/object/headers.rs
+++ b/src/protocol/object/headers.rs
@@ -1,8 +1,8 @@
-//! The headers that pass between clients and storage nodes.
+//! Headers that the gateway forwards between clients and storage nodes, and helpers for header values.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Headers that are forwarded from a client to the storage node.
+/// Names of the headers that are forwarded from a client to the storage node.
 const REQUEST_HEADERS: [&str; 12] = [
     "cache-control",
     "content-disposition",
@@ -17,7 +17,7 @@
     "if-range",
     "if-unmodified-since",
 ];
-/// Headers that are forwarded from a storage node to the client.
+/// Names of the headers that are forwarded from a storage node to the client.
 const RESPONSE_HEADERS: [&str; 12] = [
     "accept-ranges",
     "cache-control",
@@ -32,31 +32,32 @@
     "last-modified",
     "x-amz-version-id",
 ];
-/// The prefix of an object's own metadata, which is forwarded both ways.
+/// Prefix of the headers with an object's user-defined metadata, which are forwarded in both directions.
 const METADATA_PREFIX: &str = "x-amz-meta-";
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request; `None` if the `Authorization` header is missing, malformed or uses
+/// another scheme.
 pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, token) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then_some(token.trim()).filter(|token| !token.is_empty())
 }
 
-/// A header's value from text that was checked or escaped before.
+/// Converts text that has been validated or escaped to a header value.
 ///
 /// # Panics
 ///
-/// Where the text cannot be a header's value.
+/// Panics if the text contains characters that a header value cannot contain.
 pub fn header_value(text: String) -> HeaderValue {
-    HeaderValue::from_str(&text).expect("checked text is a valid header value")
+    HeaderValue::from_str(&text).expect("validated text is a valid header value")
 }
 
-/// The headers of a client's request that the storage node receives.
+/// Returns the headers of a client's request that are forwarded to the storage node.
 pub fn headers_to_node(request: &HeaderMap) -> HeaderMap {
     forwarded_headers(request, &REQUEST_HEADERS)
 }
 
-/// The headers of a storage node's response that the client receives.
+/// Returns the headers of a storage node's response that are forwarded to the client.
 pub fn headers_to_client(response: &HeaderMap) -> HeaderMap {
     forwarded_headers(response, &RESPONSE_HEADERS)
 }
--- a/src/protocol/object/mod.rs
+++ b/src/protocol/object/mod.rs
@@ -1,4 +1,5 @@
-//! The object API: S3's path addressing, ranges and multipart uploads, toward clients and storage nodes.
+//! Messages of the object API, between clients, gateways and storage nodes. The API is a subset of S3 with
+//! path-style addressing, byte ranges and multipart uploads.
 
 mod error;
 mod headers;
@@ -20,5 +21,5 @@
     encode_completion_result, encode_error, encode_initiation_result, encode_parts_list,
 };
 
-/// The highest number of a part, S3's own limit.
+/// Highest part number of a multipart upload, which is S3's limit.
 const MAX_PART_NUMBER: u32 = 10_000;
--- a/src/protocol/object/node_request.rs
+++ b/src/protocol/object/node_request.rs
@@ -1,4 +1,4 @@
-//! The request to a storage node that a client's request leads to.
+//! Builds the request to a storage node from a client's request to the object API.
 
 use super::headers::headers_to_node;
 use super::{ByteRange, ObjectRequest, Operation, header_value};
@@ -10,29 +10,30 @@
 use percent_encoding::{AsciiSet, NON_ALPHANUMERIC, utf8_percent_encode};
 use std::time::Duration;
 
-/// What is escaped in a path or query: all but letters, digits and the characters here.
-const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+/// Characters that are escaped in a path or query: all except ASCII letters, digits and the ones listed here.
+const ESCAPED_CHARS: &AsciiSet =
+    &NON_ALPHANUMERIC.remove(b'/').remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// A request to a storage node, kept for as many attempts as it takes.
+/// A request to a storage node, from which each attempt is encoded.
 #[derive(Clone, Debug)]
 pub struct NodeRequest {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path and query.
+    /// Escaped path and query.
     pub target: String,
-    /// The headers, without the deadline, which differs between attempts.
+    /// All headers except the deadline, which differs between attempts.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete body; empty for operations without a body.
     pub body: Bytes,
-    /// The range that a partial response must match.
+    /// The requested range, which a partial response must match; `None` if the complete object is requested.
     pub range: Option<ByteRange>,
-    /// Whether a long response may be streamed.
+    /// Whether a long response may be streamed to the client; true only for reads of an object's data.
     pub may_stream: bool,
 }
 
 impl NodeRequest {
-    /// The request for a client's request, whose headers and body are given apart. `node_upload_id` is the
-    /// storage node's id of the upload that the request belongs to.
+    /// Creates the storage node's request for a client's request with these headers and this body.
+    /// `node_upload_id` is the storage node's id of the upload that the request belongs to, if there is one.
     pub fn new(
         request: &ObjectRequest,
         tenant: &str,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Encodes the request for one attempt, with the time that remains for it as the deadline.
+    /// Encodes the request for one attempt. Its deadline is the `remaining` time.
     pub fn encode(&self, remaining: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -72,8 +73,9 @@
         request
     }
 
-    /// Whether a response with this head serves the request: not if the node was too busy, nor if it sends
-    /// another part of the object than was requested.
+    /// Returns whether a response with this head serves the request. It does not if the node was overloaded
+    /// or failed, or if a partial response contains another range than the requested one. Client errors other
+    /// than 408 and 429 are forwarded to the client.
     pub fn accepts_response(&self, status: StatusCode, headers: &HeaderMap) -> bool {
         match status {
             StatusCode::PARTIAL_CONTENT => self.matches_range(headers),
@@ -83,9 +85,9 @@
     }
 
     fn matches_range(&self, headers: &HeaderMap) -> bool {
-        let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
-        let content_length = text(header::CONTENT_LENGTH).and_then(|length| length.parse().ok());
-        let range = self.range.as_ref().zip(text(header::CONTENT_RANGE));
+        let header_text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
+        let content_length = header_text(header::CONTENT_LENGTH).and_then(|length| length.parse().ok());
+        let range = self.range.as_ref().zip(header_text(header::CONTENT_RANGE));
         range.is_some_and(|(range, content_range)| range.matches(content_range, content_length))
     }
 }
@@ -100,7 +102,8 @@
     }
 }
 
-/// The path and query. A tenant's name holds no dot, so no two tenants' buckets can collide on a node.
+/// Returns the escaped path and query. A tenant's name contains no dot, so the buckets of different tenants
+/// cannot collide on a node.
 fn target_of(request: &ObjectRequest, tenant: &str, node_upload_id: &str) -> String {
     let query = query_of(&request.operation, node_upload_id);
     format!("/{tenant}.{}/{}{query}", request.bucket, escape(&request.key))
@@ -118,5 +121,5 @@
 }
 
 fn escape(text: &str) -> String {
-    utf8_percent_encode(text, ESCAPED).to_string()
+    utf8_percent_encode(text, ESCAPED_CHARS).to_string()
 }
--- a/src/protocol/object/range/mod.rs
+++ b/src/protocol/object/range/mod.rs
@@ -1,22 +1,22 @@
-//! Ranges of bytes, as RFC 9110 writes them in `Range` and `Content-Range`.
+//! Byte ranges in the `Range` and `Content-Range` headers (RFC 9110, section 14).
 
 #[cfg(test)]
 mod tests;
 
-/// One range of bytes.
+/// A range of bytes of an object, with offsets from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ByteRange {
-    /// From the first to the last offset, both included.
+    /// From the first to the last offset, both inclusive.
     Span(u64, u64),
-    /// From the first offset to the end.
+    /// From this offset to the end of the object.
     From(u64),
-    /// This many bytes at the end.
+    /// This many bytes at the end of the object.
     Last(u64),
 }
 
 impl ByteRange {
-    /// Decodes a `Range` header. None where it is malformed or names several ranges: it is then ignored, as
-    /// the RFC allows, and the complete object is the response.
+    /// Decodes the value of a `Range` header. Returns `None` if it is malformed or contains several ranges.
+    /// The header is then ignored, as the RFC allows, and the response is the complete object.
     pub fn decode(text: &str) -> Option<ByteRange> {
         let (unit, range) = text.split_once('=')?;
         if !unit.trim().eq_ignore_ascii_case("bytes") {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The value of the `Range` header.
+    /// Encodes the value of a `Range` header.
     pub fn encode(&self) -> String {
         match self {
             ByteRange::Span(first, last) => format!("bytes={first}-{last}"),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The largest number of bytes in the range, if it sets a bound.
+    /// Returns the maximum number of bytes in the range; `None` if only the size of the object limits it.
     pub fn max_len(&self) -> Option<u64> {
         match self {
             ByteRange::Span(first, last) => Some((last - first).saturating_add(1)),
@@ -50,22 +50,24 @@
         }
     }
 
-    /// Whether a response with this `Content-Range` and a body of this length contains the range that was
-    /// requested. Guards against a node that sends other bytes than those that the client will take them for.
+    /// Returns whether a response with this `Content-Range`, and a body of this length if known, contains the
+    /// requested range. Otherwise a faulty node could send bytes that the client mistakes for the requested
+    /// ones.
     pub fn matches(&self, content_range: &str, content_length: Option<u64>) -> bool {
         let Some(content) = ContentRange::decode(content_range) else { return false };
-        self.is_answered_by(&content)
+        self.is_satisfied_by(&content)
             && content.is_consistent()
             && content_length.is_none_or(|length| length == content.len())
     }
 
-    /// Whether the content starts and ends where the range does, or at the object's end.
-    fn is_answered_by(&self, content: &ContentRange) -> bool {
+    /// Returns whether the content starts at the start of the range, and ends at the end of the range or of
+    /// the object.
+    fn is_satisfied_by(&self, content: &ContentRange) -> bool {
         let ContentRange { first, last, total } = *content;
         match *self {
             ByteRange::Span(from, to) => {
-                let is_cut_short = last < to && total.is_some() && content.reaches_end();
-                first == from && (last == to || is_cut_short)
+                let is_limited_by_object = last < to && total.is_some() && content.reaches_end();
+                first == from && (last == to || is_limited_by_object)
             }
             ByteRange::From(from) => first == from && content.reaches_end(),
             ByteRange::Last(count) => {
@@ -76,11 +78,11 @@
     }
 }
 
-/// What a `Content-Range` header states.
+/// The contents of a `Content-Range` header.
 struct ContentRange {
     first: u64,
     last: u64,
-    /// The size of the object, if stated.
+    /// The size of the object in bytes; `None` if the header has `*` in its place.
     total: Option<u64>,
 }
 
@@ -92,7 +94,8 @@
         Some(ContentRange { first: parse_digits(first)?, last: parse_digits(last)?, total })
     }
 
-    /// Whether the range ends where the object does; assumed where the object's size is not stated.
+    /// Returns whether the range ends at the end of the object. This is assumed if the object's size is
+    /// unknown.
     fn reaches_end(&self) -> bool {
         self.total.is_none_or(|total| self.last == total.saturating_sub(1))
     }
@@ -101,13 +104,13 @@
         self.first <= self.last && self.total.is_none_or(|total| self.last < total)
     }
 
-    /// The number of bytes; meaningful only if the range is consistent.
+    /// Returns the number of bytes, which is meaningful only if the range is consistent.
     fn len(&self) -> u64 {
         self.last.wrapping_sub(self.first).wrapping_add(1)
     }
 }
 
 fn parse_digits(text: &str) -> Option<u64> {
-    // The parser alone would also accept a sign.
+    // `parse` alone would also accept a leading sign.
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
--- a/src/protocol/object/range/tests.rs
+++ b/src/protocol/object/range/tests.rs
@@ -1,7 +1,7 @@
 use super::ByteRange::{self, From, Last, Span};
 
 #[test]
-fn ranges_are_decoded_as_the_rfc_writes_them() {
+fn only_single_well_formed_ranges_are_decoded() {
     let cases = [
         ("bytes=0-9", Some(Span(0, 9))),
         ("Bytes=5-", Some(From(5))),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn only_the_requested_range_matches() {
+fn only_content_with_the_requested_range_matches() {
     assert!(Span(0, 9).matches("bytes 0-9/20", Some(10)));
     assert!(Span(0, 99).matches("bytes 0-19/20", Some(20)));
     assert!(Last(5).matches("bytes 15-19/20", None));
--- a/src/protocol/object/request.rs
+++ b/src/protocol/object/request.rs
@@ -1,4 +1,4 @@
-//! A client's request to the object API.
+//! Decodes clients' requests to the object API.
 
 use super::{ApiError, ByteRange, MAX_PART_NUMBER};
 use hyper::Method;
@@ -7,61 +7,61 @@
 use percent_encoding::percent_decode_str;
 use std::ops::RangeInclusive;
 
-/// The longest key, in bytes, which is S3's own limit.
+/// Maximum length of a key, in bytes, which is S3's limit.
 const MAX_KEY_LEN: usize = 1024;
-/// How long a bucket's name may be, in bytes, by S3's rules.
+/// Lengths that S3 allows for a bucket's name, in bytes.
 const BUCKET_NAME_LEN: RangeInclusive<usize> = 3..=63;
 
-/// The operation that is requested.
+/// An operation of the object API.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Operation {
-    /// Read an object, a range of it, or only its head.
+    /// Read an object, a range of an object, or only the response head.
     Read {
-        /// Whether the response goes without the body.
+        /// Whether the response has no body (HEAD instead of GET).
         head_only: bool,
-        /// The range, if exactly one is stated and well-formed; otherwise the response is the complete
-        /// object.
+        /// The range, if the request has exactly one well-formed `Range` header with one range; otherwise the
+        /// response is the complete object.
         range: Option<ByteRange>,
     },
     /// Store an object.
     Put,
     /// Delete an object.
     Delete,
-    /// Begin a multipart upload.
+    /// Start a multipart upload.
     InitiateUpload,
     /// Store a part of an upload.
     UploadPart {
-        /// The client's id of the upload.
+        /// The upload id that a gateway issued to the client, not verified yet.
         upload_id: String,
-        /// The number of the part.
+        /// Number of the part, from 1 to 10,000.
         number: u32,
     },
     /// List the parts of an upload.
     ListParts {
-        /// The client's id of the upload.
+        /// The upload id that a gateway issued to the client, not verified yet.
         upload_id: String,
-        /// The parameters that select a page of the list, each with a `&` before it, as they came.
+        /// The query parameters that select a page of the list, unchanged, each with a leading `&`.
         paging: String,
     },
-    /// Assemble the parts of an upload to an object.
+    /// Assemble the parts of an upload into an object.
     CompleteUpload {
-        /// The client's id of the upload.
+        /// The upload id that a gateway issued to the client, not verified yet.
         upload_id: String,
     },
-    /// Discard the parts of an upload.
+    /// End an upload and discard its parts.
     AbortUpload {
-        /// The client's id of the upload.
+        /// The upload id that a gateway issued to the client, not verified yet.
         upload_id: String,
     },
 }
 
 impl Operation {
-    /// Whether the operation changes anything.
+    /// Returns whether the operation is a write: it changes objects or uploads.
     pub fn writes(&self) -> bool {
         !matches!(self, Operation::Read { .. } | Operation::ListParts { .. })
     }
 
-    /// The client's id of the upload that the operation belongs to.
+    /// Returns the client's upload id, for operations that belong to an upload that has been started.
     pub fn upload_id(&self) -> Option<&str> {
         match self {
             Operation::UploadPart { upload_id, .. }
@@ -72,26 +72,27 @@
         }
     }
 
-    /// Whether the request has a body.
+    /// Returns whether a request for the operation has a body.
     pub fn has_body(&self) -> bool {
         matches!(self, Operation::Put | Operation::UploadPart { .. } | Operation::CompleteUpload { .. })
     }
 }
 
-/// A client's request.
+/// The contents of the head of a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectRequest {
-    /// The bucket: a volume of the tenant.
+    /// Name of the bucket, which is a volume of the tenant.
     pub bucket: String,
-    /// The key, decoded.
+    /// The object's key, percent-decoded; 1 to 1024 bytes.
     pub key: String,
-    /// The operation.
+    /// The requested operation.
     pub operation: Operation,
-    /// The length of the body in bytes, if stated.
+    /// Length of the body in bytes, from `Content-Length`; `None` if the header is missing or malformed.
     pub length: Option<u64>,
 }
 
-/// Whether S3's rules allow this name for a bucket.
+/// Returns whether a bucket's name has 3 to 63 characters that S3 allows, and starts and ends with a letter
+/// or digit.
 pub fn is_valid_bucket_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-.".contains(&byte);
     let ends = [name.bytes().next(), name.bytes().last()];
@@ -104,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the path, the query or a header is malformed, or the operation is not offered.
+/// Returns an error if the path, the query or a header is malformed, or the operation is not supported.
 pub fn decode(head: &Parts) -> Result<ObjectRequest, ApiError> {
     let (bucket, key) = decode_path(head.uri.path())?;
     check_body_framing(&head.headers)?;
@@ -120,7 +121,7 @@
         return Err(ApiError::invalid_bucket_name());
     }
     let key = percent_decode(key)?;
-    // The operations on a bucket itself.
+    // A path without a key is for an operation on the bucket, none of which is supported.
     if key.is_empty() {
         return Err(ApiError::not_implemented());
     }
@@ -137,13 +138,13 @@
         .map_err(|_| ApiError::invalid_argument("The key or the query is not UTF-8."))
 }
 
-/// Rejects bodies whose length is not stated plainly, and those that are signed chunk by chunk.
+/// Rejects requests whose body has a transfer coding or is signed chunk by chunk.
 fn check_body_framing(headers: &HeaderMap) -> Result<(), ApiError> {
-    // Another request could be smuggled in a body of unstated length.
+    // A body without a definite length would allow request smuggling.
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return Err(ApiError::missing_content_length());
     }
-    // The signatures would be stored among the object's bytes.
+    // The gateway does not remove the chunk signatures, which would be stored as part of the object.
     let is_chunk_signed = header_contains(headers, "content-encoding", "aws-chunked")
         || header_contains(headers, "x-amz-content-sha256", "STREAMING-");
     if is_chunk_signed {
@@ -152,19 +153,19 @@
     Ok(())
 }
 
-fn header_contains(headers: &HeaderMap, name: &str, word: &str) -> bool {
-    let word = word.as_bytes();
-    headers.get(name).is_some_and(|value| value.as_bytes().windows(word.len()).any(|window| window == word))
+fn header_contains(headers: &HeaderMap, name: &str, text: &str) -> bool {
+    let text = text.as_bytes();
+    headers.get(name).is_some_and(|value| value.as_bytes().windows(text.len()).any(|window| window == text))
 }
 
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// The parameters of a request that select the operation.
+/// The query parameters of a request, which select the operation together with the method.
 #[derive(Default)]
 struct Query<'a> {
-    /// Whether an upload is to begin.
+    /// Whether `uploads` is present, which starts an upload.
     has_uploads: bool,
     upload_id: Option<String>,
     part_number: Option<&'a str>,
@@ -184,7 +185,7 @@
                 "max-parts" | "part-number-marker" if value.parse::<u32>().is_ok() => {
                     query.paging.push_str(&format!("&{name}={value}"));
                 }
-                // Clients name the operation here as well.
+                // Some clients add the operation's name, which the method and the other parameters determine.
                 "x-id" => {}
                 _ => return Err(ApiError::not_implemented()),
             }
@@ -226,7 +227,7 @@
     number.ok_or_else(|| ApiError::invalid_argument("partNumber must be a number from 1 to 10000."))
 }
 
-/// The range of a request that states exactly one.
+/// Returns the range of a request that has exactly one `Range` header with one well-formed range.
 fn single_range(headers: &HeaderMap) -> Option<ByteRange> {
     let mut values = headers.get_all(header::RANGE).iter();
     let value = values.next().filter(|_| values.next().is_none())?;
--- a/src/protocol/object/upload/mod.rs
+++ b/src/protocol/object/upload/mod.rs
@@ -1,4 +1,5 @@
-//! Upload ids: signed tokens that let any gateway continue a multipart upload without keeping state.
+//! Upload ids: signed tokens that allow any gateway of a deployment to continue a multipart upload, without
+//! state in the gateways.
 
 #[cfg(test)]
 mod tests;
@@ -8,48 +9,48 @@
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// The key with which all gateways of a deployment sign upload ids.
+/// The secret key with which all gateways of a deployment sign upload ids (HMAC-SHA256).
 #[derive(Clone)]
 pub struct UploadKey(Vec<u8>);
 
 /// The object that an upload id is valid for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObjectPath<'a> {
-    /// The tenant's name.
+    /// Name of the tenant.
     pub tenant: &'a str,
-    /// The bucket.
+    /// Name of the bucket.
     pub bucket: &'a str,
-    /// The key, decoded.
+    /// The object's key, percent-decoded.
     pub key: &'a str,
 }
 
-/// An upload as its storage node knows it, and the rack of that node. The id that the client holds carries
-/// both.
+/// A multipart upload at a storage node. The upload id that the client receives encodes both fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upload {
-    /// The rack.
+    /// Name of the rack that stores the parts.
     pub rack: String,
     /// The storage node's id of the upload.
     pub node_id: String,
 }
 
 impl UploadKey {
-    /// The shortest secret that is accepted, in bytes.
+    /// Minimum length of a secret, in bytes.
     pub const MIN_SECRET_LEN: usize = 16;
 
-    /// A key from a secret; none if that is too short.
+    /// Creates a key from a secret; returns `None` if the secret is shorter than [`Self::MIN_SECRET_LEN`].
     pub fn new(secret: &[u8]) -> Option<UploadKey> {
         (secret.len() >= Self::MIN_SECRET_LEN).then(|| UploadKey(secret.to_vec()))
     }
 
-    /// The client's id of an upload; valid for this object alone.
+    /// Returns the upload id for the client, which is valid only for this object.
     pub fn sign(&self, path: ObjectPath, upload: &Upload) -> String {
         let payload = URL_SAFE_NO_PAD.encode(format!("{}\n{}", upload.rack, upload.node_id));
         let mac = URL_SAFE_NO_PAD.encode(self.mac(path, &payload).finalize().into_bytes());
         format!("{payload}.{mac}")
     }
 
-    /// Decodes a client's id; none unless a gateway of this deployment signed it for this object.
+    /// Decodes an upload id of a client; returns `None` unless a gateway of this deployment signed it for
+    /// this object.
     pub fn verify(&self, path: ObjectPath, id: &str) -> Option<Upload> {
         let (payload, mac) = id.split_once('.')?;
         let mac = URL_SAFE_NO_PAD.decode(mac).ok()?;
@@ -62,7 +63,7 @@
     fn mac(&self, path: ObjectPath, payload: &str) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("any length is a valid key");
         for field in [path.tenant, path.bucket, path.key, payload] {
-            // The lengths keep neighbouring fields apart.
+            // The length prefixes make the boundaries between fields unambiguous.
             mac.update(&(field.len() as u64).to_be_bytes());
             mac.update(field.as_bytes());
         }
--- a/src/protocol/object/xml.rs
+++ b/src/protocol/object/xml.rs
@@ -1,11 +1,11 @@
-//! The XML bodies of the object API, toward clients and storage nodes.
+//! Encodes and decodes the XML bodies of the object API, which clients, gateways and storage nodes exchange.
 
 use super::{ApiError, MAX_PART_NUMBER};
 use serde::{Deserialize, Serialize};
 
-/// What every document begins with.
+/// XML declaration at the start of every document.
 const PROLOG: &str = "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n";
-/// S3's namespace, which clients expect.
+/// S3's XML namespace, which clients expect.
 const NAMESPACE: &str = "http://s3.amazonaws.com/doc/2006-03-01/";
 
 #[derive(Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct WireInitiated {
+struct WireInitiationResult {
     #[serde(rename = "@xmlns", default)]
     namespace: String,
     bucket: String,
@@ -31,25 +31,25 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct WireComplete {
+struct WireCompletionRequest {
     #[serde(rename = "Part", default)]
     parts: Vec<CompletedPart>,
 }
 
-/// A part as a client names it in the request to complete the upload.
+/// A part in the request to complete an upload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletedPart {
-    /// Its number.
+    /// Number of the part, from 1 to 10,000 in a valid request.
     #[serde(rename = "PartNumber")]
     pub number: u32,
-    /// The entity tag that storing the part returned.
+    /// Entity tag from the response to the request that stored the part.
     #[serde(rename = "ETag")]
     pub etag: String,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct WireCompleted {
+struct WireCompletionResult {
     #[serde(rename = "@xmlns", default)]
     namespace: String,
     #[serde(default)]
@@ -63,31 +63,31 @@
 /// A part in the list of an upload's parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedPart {
-    /// Its number.
+    /// Number of the part.
     #[serde(rename = "PartNumber")]
     pub number: u32,
-    /// When it was stored, if stated.
+    /// Time at which the part was stored, as the storage node formats it; `None` if not reported.
     #[serde(rename = "LastModified", skip_serializing_if = "Option::is_none")]
     pub modified: Option<String>,
-    /// Its entity tag.
+    /// Entity tag of the part.
     #[serde(rename = "ETag")]
     pub etag: String,
-    /// Its size in bytes.
+    /// Size of the part in bytes.
     #[serde(rename = "Size")]
     pub size: u64,
 }
 
-/// A page of the list of an upload's parts.
+/// One page of the list of an upload's parts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PartsList {
     #[serde(rename = "@xmlns", default)]
     namespace: String,
-    /// The bucket.
+    /// Name of the bucket: the storage node's in its response, the client's in the response to the client.
     pub bucket: String,
-    /// The key.
+    /// Key of the object.
     pub key: String,
-    /// The upload id.
+    /// Upload id: the storage node's in its response, the client's in the response to the client.
     pub upload_id: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     part_number_marker: Option<u32>,
@@ -97,20 +97,21 @@
     max_parts: Option<u32>,
     #[serde(default)]
     is_truncated: bool,
-    /// The parts.
+    /// The parts on this page.
     #[serde(rename = "Part", default)]
     pub parts: Vec<ListedPart>,
 }
 
 impl PartsList {
-    /// A complete list of parts, for no upload yet.
+    /// Creates a complete list of parts, with an empty bucket, key and upload id.
     pub fn new(parts: Vec<ListedPart>) -> PartsList {
         PartsList { parts, ..PartsList::default() }
     }
 }
 
 fn encode(root: &str, value: &impl Serialize) -> String {
-    let document = quick_xml::se::to_string_with_root(root, value).expect("text and numbers can be written");
+    let document =
+        quick_xml::se::to_string_with_root(root, value).expect("text and numbers can be serialized");
     format!("{PROLOG}{document}")
 }
 
@@ -129,23 +130,23 @@
     encode("Error", &wire)
 }
 
-/// What a storage node's error response states.
+/// The contents of a storage node's error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorBody {
-    /// S3's code of the error.
+    /// S3 error code.
     pub code: String,
-    /// The error in words.
+    /// Human-readable description; empty if the node sends none.
     pub message: String,
 }
 
-/// Decodes a storage node's error response.
+/// Decodes a storage node's error response; returns `None` if the body is malformed.
 pub fn decode_error(body: &[u8]) -> Option<ErrorBody> {
     decode::<WireError>(body).map(|WireError { code, message, .. }| ErrorBody { code, message })
 }
 
-/// Encodes the response to a client that began an upload.
+/// Encodes the response to a client that started an upload. `upload_id` is the client's upload id.
 pub fn encode_initiation_result(bucket: &str, key: &str, upload_id: &str) -> String {
-    let wire = WireInitiated {
+    let wire = WireInitiationResult {
         namespace: NAMESPACE.into(),
         bucket: bucket.into(),
         key: key.into(),
@@ -154,18 +155,20 @@
     encode("InitiateMultipartUploadResult", &wire)
 }
 
-/// Decodes the storage node's id of an upload that was begun.
+/// Decodes a storage node's response to the start of an upload and returns the node's id of the upload.
+/// Returns `None` if the body is malformed or the id is empty.
 pub fn decode_initiation_result(body: &[u8]) -> Option<String> {
-    decode::<WireInitiated>(body).map(|initiated| initiated.upload_id).filter(|id| !id.is_empty())
+    decode::<WireInitiationResult>(body).map(|result| result.upload_id).filter(|id| !id.is_empty())
 }
 
-/// Decodes the parts that a client wants assembled.
+/// Decodes a client's request to complete an upload and returns the parts to assemble.
 ///
 /// # Errors
 ///
-/// Returns an error if the XML is malformed, names no part, or names parts out of bounds or order.
+/// Returns an error if the XML is malformed or contains no part, if a part number is out of range, or if the
+/// part numbers are not in ascending order.
 pub fn decode_completion_request(body: &[u8]) -> Result<Vec<CompletedPart>, ApiError> {
-    let WireComplete { parts } = decode(body).ok_or_else(ApiError::malformed_xml)?;
+    let WireCompletionRequest { parts } = decode(body).ok_or_else(ApiError::malformed_xml)?;
     if parts.is_empty() || parts.iter().any(|part| !(1..=MAX_PART_NUMBER).contains(&part.number)) {
         return Err(ApiError::malformed_xml());
     }
@@ -175,19 +178,20 @@
     Ok(parts)
 }
 
-/// Encodes the request to a storage node to assemble parts.
+/// Encodes the request to a storage node to assemble these parts.
 pub fn encode_completion_request(parts: Vec<CompletedPart>) -> String {
-    encode("CompleteMultipartUpload", &WireComplete { parts })
+    encode("CompleteMultipartUpload", &WireCompletionRequest { parts })
 }
 
-/// Decodes the entity tag of the assembled object.
+/// Decodes a storage node's response to the completion of an upload and returns the entity tag of the
+/// assembled object. Returns `None` if the body is malformed.
 pub fn decode_completion_result(body: &[u8]) -> Option<String> {
-    decode::<WireCompleted>(body).map(|completed| completed.etag)
+    decode::<WireCompletionResult>(body).map(|result| result.etag)
 }
 
-/// Encodes the response to a client that completed an upload.
+/// Encodes the response to a client that completed an upload. `location` is the path of the object.
 pub fn encode_completion_result(location: &str, bucket: &str, key: &str, etag: &str) -> String {
-    let wire = WireCompleted {
+    let wire = WireCompletionResult {
         namespace: NAMESPACE.into(),
         location: location.into(),
         bucket: bucket.into(),
@@ -197,12 +201,13 @@
     encode("CompleteMultipartUploadResult", &wire)
 }
 
-/// Decodes a storage node's list of parts.
+/// Decodes a storage node's list of parts; returns `None` if the body is malformed.
 pub fn decode_parts_list(body: &[u8]) -> Option<PartsList> {
     decode(body)
 }
 
-/// Encodes the list of parts for a client, under the names that the client knows.
+/// Encodes a storage node's list of parts for a client, with the bucket, key and upload id that the client
+/// uses.
 pub fn encode_parts_list(listing: PartsList, bucket: &str, key: &str, upload_id: &str) -> String {
     let wire = PartsList {
         namespace: NAMESPACE.into(),
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,8 +1,8 @@
-//! The settings in the form in which both the simulator's first message and the platform's configuration
-//! give them.
+//! Decodes the platform's settings, which are part of the platform's configuration file and of the message
+//! with which the simulator starts a scheduler.
 //!
-//! Fields carry the scheduler's names; the names on the wire stand in the serde attributes. Fields that are
-//! missing on the wire take the defaults given here, and unknown ones are ignored.
+//! The fields have the names that [`SchedulerSettings`] uses; serde attributes state the names on the wire. A
+//! field that is missing on the wire has its default value, and unknown fields are ignored.
 
 use crate::scheduler::{
     DeduplicationScope, Idempotency, RateLimit, RequestClass, RetryBudget, SchedulerSettings, ServicePlan,
@@ -10,7 +10,7 @@
 };
 use serde::Deserialize;
 
-/// The settings as the platform gives them.
+/// The settings as decoded from the wire; [`PlatformSettings::to_scheduler_settings`] converts them.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 pub struct PlatformSettings {
@@ -71,7 +71,8 @@
     }
 }
 
-/// Which repetitions of a class's requests are harmless; whatever is not known to be harmless is not.
+/// Which repetitions of a class's requests are harmless. Any unknown value counts as non-idempotent, the safe
+/// choice.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(from = "String")]
 enum WireIdempotency {
@@ -91,7 +92,7 @@
     }
 }
 
-/// Which nodes recognize an idempotency key; the narrowest scope unless a wider one is stated.
+/// Which nodes recognize an idempotency key. Any unknown value counts as the narrowest scope, a shard.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(from = "String")]
 enum WireKeyScope {
@@ -111,7 +112,8 @@
     }
 }
 
-/// How a gateway learns of changes to the endpoint list.
+/// How a gateway receives changes to the endpoint list: pushed, unless the settings require requests for
+/// them.
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(from = "String")]
 enum DiscoveryMode {
@@ -164,7 +166,7 @@
     }
 }
 
-/// What the deployment states of its requests and storage nodes.
+/// Properties of the deployment's requests and storage nodes.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireWorkload {
@@ -184,7 +186,8 @@
     fair_share_weight_factor: f64,
 }
 
-/// What a gateway may do; 0 stands for "not stated".
+/// Limits and capabilities of a gateway. In `connIdleUs`, `maxAttempts` and `maxRetryAfterUs`, 0 means that
+/// the platform does not specify a value.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireLimits {
@@ -198,7 +201,7 @@
     retry_after: bool,
 }
 
-/// The rules of the deployment.
+/// The deployment's rules on polling, draining, slow start, retries and ordering.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireRules {
@@ -225,7 +228,7 @@
 }
 
 impl PlatformSettings {
-    /// The settings for the scheduler.
+    /// Converts the settings to those of the scheduler.
     pub fn to_scheduler_settings(&self) -> SchedulerSettings {
         let PlatformSettings { workload, limits, rules, .. } = self;
         SchedulerSettings {
@@ -253,27 +256,29 @@
         }
     }
 
-    /// The names of the classes, in order of their numbers.
+    /// Returns the names of the request classes, ordered by class index.
     pub fn class_names(&self) -> Vec<String> {
         self.classes.iter().map(|class| class.name.clone()).collect()
     }
 
-    /// The names of the plans, in order of their numbers.
+    /// Returns the names of the service plans, ordered by plan index.
     pub fn plan_names(&self) -> Vec<String> {
         self.plans.iter().map(|plan| plan.name.clone()).collect()
     }
 
-    /// Whether each class writes, in order of their numbers; empty if unknown.
+    /// Returns whether the requests of each class are writes, ordered by class index. Shorter than the list
+    /// of classes, or empty, if the settings do not specify this for all classes.
     pub fn writes(&self) -> Vec<bool> {
         self.workload.class_writes.clone()
     }
 
-    /// The names of the zones, in order of their numbers.
+    /// Returns the names of the zones, ordered by zone number.
     pub fn zones(&self) -> Vec<String> {
         self.zones.clone()
     }
 
-    /// How long a storage node keeps an idle connection, in microseconds; none if unknown.
+    /// Returns the time after which a storage node closes an idle connection, in microseconds; `None` if the
+    /// settings do not specify it.
     pub fn node_idle_timeout_us(&self) -> Option<u64> {
         nonzero(self.limits.node_idle_timeout_us)
     }
@@ -333,7 +338,8 @@
 }
 
 impl WireRules {
-    /// None unless both what a starting node bears and when it is overloaded are stated.
+    /// Returns `None` unless the settings specify both the units that a starting node sustains (`coldBears`)
+    /// and the load at which it is overloaded (`tipMultiple`).
     fn slow_start_policy(&self, workload: &WireWorkload) -> Option<SlowStartPolicy> {
         Some(SlowStartPolicy {
             guaranteed_units: workload.slow_start_units?,
@@ -344,7 +350,8 @@
         })
     }
 
-    /// None unless both ratio and window are stated.
+    /// Returns `None` unless the settings specify both the retry ratio (`extraRatio`) and the retry window
+    /// (`extraWindowUs`).
     fn retry_budget(&self) -> Option<RetryBudget> {
         Some(RetryBudget {
             burst: self.retry_burst.unwrap_or(0.0),
@@ -354,7 +361,7 @@
     }
 }
 
-/// A number that the wire gives as 0 where it is not stated.
+/// Converts a number that is 0 on the wire if the platform does not specify it.
 fn nonzero(number: u64) -> Option<u64> {
     (number > 0).then_some(number)
 }
