--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -83,8 +83,8 @@
     pub volume_gateways: f64,
     /// Number of the block to read or write, from the last segment of the path.
     pub block: BlockId,
-    /// The shard that stores the block; `None` for a new object, for which `IO-Info` contains a negative
-    /// number.
+    /// The shard that stores the block; `None` for a new object, for which the shard in `IO-Info` is
+    /// negative.
     pub shard: Option<ShardId>,
     /// Size of the request in units; finite and above 0.
     pub units: f64,
@@ -92,8 +92,8 @@
     pub timeout_us: u64,
 }
 
-/// Decodes the head of a client's request. `conflicting_length` tells whether the connection has found
-/// conflicting headers for the length of the body.
+/// Decodes the head of a client's request. `conflicting_length` tells whether the connection has found that the
+/// head states the length of the body in conflicting ways.
 ///
 /// # Errors
 ///
@@ -132,9 +132,7 @@
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
     match (codings.next(), codings.next()) {
         (None, _) => true,
-        (Some(value), None) => {
-            value.as_bytes().eq_ignore_ascii_case(b"chunked") && head.method == Method::PUT
-        }
+        (Some(only), None) => only.as_bytes().eq_ignore_ascii_case(b"chunked") && head.method == Method::PUT,
         _ => false,
     }
 }
--- a/src/protocol/object/request.rs
+++ b/src/protocol/object/request.rs
@@ -91,8 +91,8 @@
     pub length: Option<u64>,
 }
 
-/// Returns whether a bucket's name has 3 to 63 characters that S3 allows, and starts and ends with a letter
-/// or digit.
+/// Returns whether S3 allows this name for a bucket: it has 3 to 63 lower-case letters, digits, hyphens or
+/// dots, and starts and ends with a letter or digit.
 pub fn is_valid_bucket_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-.".contains(&byte);
     let ends = [name.bytes().next(), name.bytes().last()];
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,8 +1,8 @@
 //! Decodes the platform's settings, which are part of the platform's configuration file and of the message
 //! with which the simulator starts a scheduler.
 //!
-//! The fields have the names that [`SchedulerSettings`] uses; serde attributes state the names on the wire. A
-//! field that is missing on the wire has its default value, and unknown fields are ignored.
+//! Fields have the scheduler's names; serde attributes state the names on the wire. A field that is missing
+//! on the wire has the default value given here, and unknown fields are ignored.
 
 use crate::scheduler::{
     DeduplicationScope, Idempotency, RateLimit, RequestClass, RetryBudget, SchedulerSettings, ServicePlan,
