--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -92,8 +92,8 @@
     pub timeout_us: u64,
 }
 
-/// Decodes the head of a client's request. `conflicting_length` tells whether the connection has found that the
-/// head states the length of the body in conflicting ways.
+/// Decodes the head of a client's request. `conflicting_length` tells whether the connection found that
+/// the head states the length of the body in conflicting ways.
 ///
 /// # Errors
 ///
