--- a/src/transport/body.rs
+++ b/src/transport/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the responses given to clients.
+//! Response bodies sent to clients.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
@@ -7,28 +7,28 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body of a response to a client.
+/// Body of a response to a client, either complete or streamed.
 pub type ResponseBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// A body whose bytes are all known beforehand.
+/// Creates a response body from bytes that are already in memory.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body that holds a guard until it is written or given up.
+/// A response body that owns a guard, which is dropped once the body has been sent or discarded.
 pub struct GuardedBody<G> {
-    // Dropped in this order: the body before what guards it.
+    // Fields are dropped in declaration order: the body must be dropped before its guard.
     body: ResponseBody,
     _guard: G,
 }
 
 impl<G: Unpin + Send + 'static> GuardedBody<G> {
-    /// Drops `guard` together with `body`, and after it.
+    /// Ties `guard` to `body`: the guard is dropped directly after the body.
     pub fn new(body: ResponseBody, guard: G) -> Self {
         GuardedBody { body, _guard: guard }
     }
 
-    /// Hides the type of the guard.
+    /// Converts the body to a [`ResponseBody`], which hides the type of the guard.
     pub fn boxed(self) -> ResponseBody {
         self.boxed_unsync()
     }
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: requests are read from it and answered until it is closed.
+//! Serves the requests of one client connection until it is closed.
 
 use super::client_stream::{ClientStream, READ_BUFFER_LEN, ReadAhead};
 use super::connection_table::{ConnectionSlot, ConnectionTable, StartedRequest};
@@ -23,45 +23,48 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// How long bytes that a client still sends are read and discarded before its connection is closed.
+/// Maximum time for which bytes from the client are read and discarded before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The same for a client that sends nothing more.
+/// Time without any byte from the client after which lingering ends early.
 const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The same as [`LINGER_TIMEOUT`] while the program stops.
+/// Replaces [`LINGER_TIMEOUT`] from [`LifecyclePhase::FinalResponses`] on.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often a client that keeps sending behind its request is checked for having disconnected: the platform
-/// wants nothing forwarded more than 0.1 s after a client has disconnected.
+/// Interval at which a client is checked for a disconnect once it has filled the read-ahead buffer with bytes
+/// that follow its request. The platform requires that nothing is forwarded more than 0.1 s after a client
+/// has disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the connection knows of a request.
+/// Properties of a request that only its connection can determine.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
-    /// Whether it is to be served.
+    /// Whether the request is served or rejected because of overload.
     pub admission: Admission,
-    /// When the first of its bytes came.
+    /// Time at which the first byte of the request was read. For a pipelined request that was read together
+    /// with the previous one: time at which its processing started.
     pub started_at: Instant,
-    /// Whether it is chunked and states the length of its body as well.
+    /// Whether the request has both `Transfer-Encoding` and `Content-Length`.
     pub conflicting_length: bool,
 }
 
-/// Whether a request is to be served.
+/// Whether a request is served or rejected because of overload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// To be served.
+    /// The request must be served.
     Admitted,
-    /// Too many connections: to be rejected.
+    /// Too many connections are open; the request must be rejected.
     Overloaded,
 }
 
-/// How the exchange of messages on a connection ended.
+/// How serving requests on a connection ended.
 enum ConnectionEnd {
-    /// The last response is written, or the connection broke.
+    /// The last response was written, or the connection failed. The connection lingers before it is closed.
     Finished,
-    /// The client disconnected during a request, or the connection expired.
+    /// The client disconnected during a request, or the connection expired or was evicted. The connection is
+    /// closed at once.
     Abandoned,
 }
 
-/// One connection of a client.
+/// A connection from a client.
 pub(super) struct ClientConnection<S> {
     read_ahead: Rc<ReadAhead>,
     slot: Arc<ConnectionSlot>,
@@ -75,7 +78,7 @@
     S: Fn(Request<Incoming>, RequestContext) -> F,
     F: Future<Output = Response<ResponseBody>>,
 {
-    /// A connection that has just been accepted.
+    /// Creates the connection for a socket that has just been accepted.
     pub(super) fn new(
         stream: TcpStream,
         slot: Arc<ConnectionSlot>,
@@ -83,12 +86,12 @@
         phase: watch::Receiver<LifecyclePhase>,
         service: Rc<S>,
     ) -> Self {
-        // Without it responses would only be slower.
+        // A failure is ignored: without TCP_NODELAY, responses are only slower.
         let _ = stream.set_nodelay(true);
         ClientConnection { read_ahead: Rc::new(ReadAhead::new(stream)), slot, table, phase, service }
     }
 
-    /// Serves requests until the connection can be closed.
+    /// Serves requests until the connection ends, and then lingers unless it must be closed at once.
     pub(super) async fn serve(&self) {
         let io = TokioIo::new(ClientStream::new(self.read_ahead.clone(), self.slot.clone()));
         let mut connection = http1::Builder::new()
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Passes one request to the service and prepares its response.
+    /// Passes one request to the service, and adds `Connection: close` to the response if the connection must
+    /// not be reused.
     fn respond(
         &self,
         request: Request<Incoming>,
@@ -114,7 +118,8 @@
         let response = (self.service)(request, RequestContext { admission, started_at, conflicting_length });
         Box::pin(async move {
             let mut response = response.await;
-            // To an intermediary, bytes behind a body without a stated length may be the rest of that body.
+            // A chunked request closes the connection because an intermediary may treat bytes that follow a
+            // body without `Content-Length` as the rest of that body.
             if chunked || admission == Admission::Overloaded || self.responses_are_final() {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
@@ -126,7 +131,8 @@
         *self.phase.borrow() >= LifecyclePhase::FinalResponses
     }
 
-    /// Runs hyper's side of the connection, and watches for whatever else may end it.
+    /// Runs hyper's connection and watches for the other events that end it: a disconnect of the client, the
+    /// expiry or eviction of the connection, and the shutdown.
     async fn drive<H>(&self, connection: &mut http1::Connection<TokioIo<ClientStream>, H>) -> ConnectionEnd
     where
         H: HttpService<Incoming, ResBody = ResponseBody, Error = Infallible> + Unpin,
@@ -139,18 +145,19 @@
         loop {
             tokio::select! {
                 biased;
-                // hyper is done: the last response is written, or the connection broke. A request still in
-                // flight is cancelled when `connection` is dropped, after lingering (see docs/open.md).
+                // hyper is done: the last response was written, or the connection failed. A request that is
+                // still in flight is cancelled when `connection` is dropped, after lingering (see
+                // docs/open.md).
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ConnectionEnd::Finished,
-                // The client disconnected without hyper noticing: `connection` is dropped at once, which
-                // cancels the request.
+                // The client disconnected and hyper has not detected it: `connection` is dropped at once,
+                // which cancels the request.
                 () = poll_fn(|cx| self.poll_client_closed(cx, &mut check_interval)) => {
                     return ConnectionEnd::Abandoned;
                 }
                 _ = phase.wait_for(|phase| *phase == LifecyclePhase::ClosingIdle), if !closing => {
                     closing = true;
-                    // hyper considers a connection idle even if part of its next request has arrived. That
-                    // request is still answered, and its response closes the connection.
+                    // hyper considers a connection idle even if part of its next request has arrived. Such a
+                    // request is still served, and its response closes the connection.
                     if !self.slot.is_reading_head() {
                         Pin::new(&mut *connection).graceful_shutdown();
                     }
@@ -160,7 +167,7 @@
         }
     }
 
-    /// Ready once the client has closed the connection during a request.
+    /// Returns ready once the client has closed the connection during a request.
     fn poll_client_closed(&self, cx: &mut Context<'_>, check_interval: &mut Interval) -> Poll<()> {
         if self.slot.is_serving_request() {
             self.read_ahead.poll_closed(cx, check_interval)
@@ -169,17 +176,20 @@
         }
     }
 
-    /// Closes the connection once the client has read its response, or has had the time to.
+    /// Performs a lingering close: gives the client time to read its response before the socket is closed.
     async fn linger(&self) {
         self.slot.start_closing();
         let timeout = if self.responses_are_final() { SHUTDOWN_LINGER_TIMEOUT } else { LINGER_TIMEOUT };
-        // What a client sends after that is not worth waiting for.
+        // Errors and timeouts are ignored: the connection is closed in any case.
         let _ = tokio::time::timeout(timeout, discard_until_closed(self.read_ahead.stream())).await;
     }
 }
 
-/// Closes this side of the connection and reads what is still sent. Closing a socket with unread input resets
-/// the connection, which could discard the response before the client has read it.
+/// Shuts down the sending half of the connection, and discards input until the client closes its half or
+/// sends nothing for [`LINGER_SILENCE_TIMEOUT`].
+///
+/// Closing a socket with unread input resets the connection, which could discard the response before the
+/// client has read it.
 async fn discard_until_closed(stream: &TcpStream) -> io::Result<()> {
     stream.shutdown_write()?;
     let mut discarded = vec![0; READ_BUFFER_LEN];
--- a/src/transport/client_stream.rs
+++ b/src/transport/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket: bytes read ahead of hyper, and a timeout on writes.
+//! The socket of a client connection, with a read-ahead buffer and a write timeout.
 
 use super::connection_table::ConnectionSlot;
 use super::request_framing::RequestFraming;
@@ -16,15 +16,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{Interval, Sleep};
 
-/// A connection's read buffer, in bytes: the head of a request must fit into it.
+/// Size of each read buffer of a connection, in bytes. The head of a request must fit into hyper's buffer.
 pub(super) const READ_BUFFER_LEN: usize = 16 * 1024;
-/// Space made in the buffer before each read, in bytes.
+/// Space reserved in the read-ahead buffer before each read, in bytes.
 const READ_CHUNK_LEN: usize = READ_BUFFER_LEN / 4;
-/// A client that accepts no byte of its response for this long is disconnected.
+/// Duration after which a client that accepts no byte of its response is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A client's socket, and what has been read from it ahead of hyper. While a request is in progress, hyper
-/// reads no further than one byte behind it, and does not notice that the client disconnects after that.
+/// A client's socket, with a buffer for bytes that are read from it before hyper requests them.
+///
+/// While a request is in progress, hyper reads at most one byte beyond the request, and does not detect a
+/// disconnect after that byte.
 pub(super) struct ReadAhead {
     stream: TcpStream,
     buffer: RefCell<BytesMut>,
@@ -32,24 +34,26 @@
 }
 
 impl ReadAhead {
-    /// Has read nothing yet.
+    /// Wraps a socket from which nothing has been read yet.
     pub(super) fn new(stream: TcpStream) -> Self {
         ReadAhead { stream, buffer: RefCell::default(), framing: RefCell::default() }
     }
 
-    /// The socket.
+    /// Returns the client's socket.
     pub(super) fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Whether the chunked request on this connection states a length as well.
+    /// Returns whether the chunked request on this connection also has a `Content-Length`.
     pub(super) fn conflicting_length(&self) -> bool {
         self.framing.borrow().conflicting_length()
     }
 
-    /// Ready once the client has closed the connection, or it has broken. What comes before that is buffered
-    /// for hyper, which is woken for it: it may be the rest of a body. Once the buffer is full, the socket is
-    /// checked at each tick of `check_interval`.
+    /// Returns ready once the client has closed the connection, or the connection has failed.
+    ///
+    /// Bytes that arrive before that are buffered for hyper, which is woken to read them because they may belong
+    /// to the body of the current request. Once the buffer is full, the socket is checked at each tick of
+    /// `check_interval`.
     pub(super) fn poll_closed(&self, cx: &mut Context<'_>, check_interval: &mut Interval) -> Poll<()> {
         let mut buffer = self.buffer.borrow_mut();
         while buffer.len() < READ_BUFFER_LEN {
@@ -67,7 +71,8 @@
         self.poll_closed_unread(cx, check_interval)
     }
 
-    /// The same without reading: a client may close behind bytes for which there is no space.
+    /// Like [`poll_closed`](Self::poll_closed), but does not read: detects a disconnect that follows unread
+    /// bytes for which the buffer has no space.
     fn poll_closed_unread(&self, cx: &mut Context<'_>, check_interval: &mut Interval) -> Poll<()> {
         loop {
             ready!(check_interval.poll_tick(cx));
@@ -78,7 +83,7 @@
         }
     }
 
-    /// Reads what has been buffered, or else from the socket.
+    /// Reads from the buffer, or from the socket if the buffer is empty.
     fn poll_read(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut buffer = self.buffer.borrow_mut();
         if buffer.is_empty() {
@@ -91,9 +96,10 @@
     }
 }
 
-/// What hyper reads from and writes to: a client's socket whose writes fail once nothing of them has been
-/// written for [`WRITE_TIMEOUT`]. Guards against clients that stop reading: their responses would occupy
-/// memory forever.
+/// The stream through which hyper reads from and writes to a client's socket.
+///
+/// A write fails once no byte of it has been written for [`WRITE_TIMEOUT`]. This guards against clients that
+/// stop reading: their responses would occupy memory forever.
 pub(super) struct ClientStream {
     read_ahead: Rc<ReadAhead>,
     write_timeout: Option<Pin<Box<Sleep>>>,
@@ -101,12 +107,12 @@
 }
 
 impl ClientStream {
-    /// Records in `slot` that bytes have come.
+    /// Creates a stream that records in `slot` when bytes are received.
     pub(super) fn new(read_ahead: Rc<ReadAhead>, slot: Arc<ConnectionSlot>) -> Self {
         ClientStream { read_ahead, write_timeout: None, slot }
     }
 
-    /// Turns a write that has been pending for too long into an error.
+    /// Returns a timeout error instead of `Pending` once writes have been pending for [`WRITE_TIMEOUT`].
     fn apply_write_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
@@ -152,7 +158,7 @@
         true
     }
 
-    /// Writes go to the kernel at once.
+    /// Does nothing: writes are not buffered but passed to the kernel at once.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/src/transport/connection_pool/mod.rs
+++ b/src/transport/connection_pool/mod.rs
@@ -1,7 +1,7 @@
-//! The connections to one storage node, owned by an actor.
+//! A pool of connections to one storage node, owned by an actor.
 //!
-//! The actor hands out idle connections and takes them back. Each exchange runs in a task of its own, so that
-//! the actor never waits for the network.
+//! The actor assigns an idle connection to an exchange, and the exchange returns it afterwards. Each exchange
+//! runs in its own task, so that the actor never waits for the network.
 
 use super::exchange::{Exchange, ExchangeEnd, ExchangeEvent, ExchangeFailure, run_exchange};
 use super::node_connection::NodeConnection;
@@ -11,23 +11,23 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 use tokio::time::Instant;
 
-/// A connection that has brought a response stays unused for this long before it carries the next request. A
-/// second response may come some milliseconds late, as the platform says, and nothing in it tells which
-/// request it belongs to: it would be taken for the response to the next one.
+/// Duration for which a connection is not reused after a response. According to the platform, a duplicate
+/// response may arrive some milliseconds later. It does not identify its request, so it would be taken for
+/// the response to the next request on the connection.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// What the pools of all nodes share.
+/// Limits that apply to the pools of all nodes.
 #[derive(Clone)]
 pub struct PoolLimits {
-    /// A permit for each connection that may be open in all.
+    /// One permit for each connection that may be open, shared by all pools.
     pub permits: Arc<Semaphore>,
-    /// A connection not open by then has failed.
+    /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after this, well before the node would do it.
+    /// Duration after which an idle connection is closed, well before the node would close it.
     pub idle_timeout: Duration,
 }
 
-/// An open connection, and its permit to be open.
+/// An open connection and its permit, which limits the number of open connections.
 struct PooledConnection {
     connection: NodeConnection,
     last_used: Instant,
@@ -37,18 +37,18 @@
 enum Command {
     Execute(Box<Exchange>),
     Return(PooledConnection),
-    /// Connections last used before this are not to be used again.
+    /// Closes idle connections that were last used before this time, and discards those that are returned.
     InvalidateBefore(Instant),
     AddressChanged(SocketAddr),
     NodeRestarted,
 }
 
-/// A handle to the actor that owns the connections to one node.
+/// A handle to the actor that owns the connections to one storage node.
 #[derive(Clone)]
 pub struct ConnectionPool(mpsc::UnboundedSender<Command>);
 
 impl ConnectionPool {
-    /// Starts the actor, which ends once all handles are dropped. Must be called on a `LocalSet`.
+    /// Starts the actor, which stops once all handles are dropped. Must be called on a `LocalSet`.
     pub fn start(address: SocketAddr, limits: PoolLimits) -> ConnectionPool {
         let (sender, receiver) = mpsc::unbounded_channel();
         let actor = PoolActor {
@@ -62,23 +62,23 @@
         ConnectionPool(sender)
     }
 
-    /// Runs an exchange; its `on_event` receives what becomes of it.
+    /// Starts an exchange, whose progress and result are reported to its `on_event`.
     pub fn execute(&self, exchange: Exchange) {
         self.send(Command::Execute(Box::new(exchange)));
     }
 
-    /// From now on the node is reached at another address.
+    /// Sets the node's new address, and closes the connections to the old one.
     pub fn address_changed(&self, address: SocketAddr) {
         self.send(Command::AddressChanged(address));
     }
 
-    /// The node's process is a new one: connections to the old one are dead.
+    /// Closes the connections to a node that has restarted, because they belong to its previous process.
     pub fn node_restarted(&self) {
         self.send(Command::NodeRestarted);
     }
 
     fn send(&self, command: Command) {
-        // The actor lives as long as there is a handle to it.
+        // Sending does not fail: the actor runs as long as a handle to it exists.
         let _ = self.0.send(command);
     }
 }
@@ -86,11 +86,12 @@
 struct PoolActor {
     address: SocketAddr,
     limits: PoolLimits,
-    /// In order of last use.
+    /// Idle connections, ordered by last use from oldest to newest.
     idle: Vec<PooledConnection>,
-    /// Connections last used before this are not to be used again.
+    /// Connections that were last used before this time must not be reused.
     valid_since: Instant,
-    /// For exchanges to give their connections back.
+    /// Sender through which exchanges return their connections. It is weak so that it does not keep the actor
+    /// running.
     commands: mpsc::WeakUnboundedSender<Command>,
 }
 
@@ -152,7 +153,8 @@
     }
 }
 
-/// The most recently used connection that may carry a request again. Those found broken are dropped.
+/// Takes the most recently used connection that can be reused. Drops connections that turn out to be unusable
+/// during the search.
 fn take_reusable(idle: &mut Vec<PooledConnection>) -> Option<PooledConnection> {
     loop {
         let position = idle.iter().rposition(|pooled| pooled.last_used.elapsed() >= REUSE_DELAY)?;
@@ -163,7 +165,8 @@
     }
 }
 
-/// Runs an exchange on the connection given, or on a new one, and gives the connection back.
+/// Runs an exchange on `pooled`, or on a new connection if `pooled` is `None`. Returns the connection to the
+/// pool if it can be reused.
 async fn execute(
     mut exchange: Exchange,
     pooled: Option<PooledConnection>,
@@ -181,7 +184,7 @@
     };
     let ExchangeEnd { event, connection_reusable } = match (exchange.build_request)() {
         Some(request) => run_exchange(&mut exchange, &mut pooled.connection, request).await,
-        // The connection is as good as before.
+        // The connection has not been used, so it remains reusable.
         None => ExchangeEnd {
             event: ExchangeEvent::Failed(ExchangeFailure::NotStarted),
             connection_reusable: true,
@@ -191,14 +194,14 @@
         if connection_reusable {
             pooled.last_used = Instant::now();
             let _ = commands.send(Command::Return(pooled));
-        } else if casts_doubt_on_idle_connections(&event) {
+        } else if invalidates_idle_connections(&event) {
             let _ = commands.send(Command::InvalidateBefore(started_at));
         }
     }
     (exchange.on_event)(event);
 }
 
-/// Opens a connection for an exchange. A failure means that the exchange never began.
+/// Opens a connection for an exchange. If this fails, the node has not received the request.
 async fn open_connection(
     exchange: &mut Exchange,
     address: SocketAddr,
@@ -220,9 +223,9 @@
     }
 }
 
-/// Whether an idle connection last used before this exchange may lead to the same dead machine: a request
-/// written to it would be lost as well.
-fn casts_doubt_on_idle_connections(event: &ExchangeEvent) -> bool {
+/// Returns whether the end of an exchange shows that the node may have failed. Requests written to idle
+/// connections that were last used before this exchange would then be lost as well.
+fn invalidates_idle_connections(event: &ExchangeEvent) -> bool {
     use ExchangeFailure::{ConnectionReset, NotDelivered, TimedOut};
     matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | NotDelivered))
 }
--- a/src/transport/connection_pool/tests.rs
+++ b/src/transport/connection_pool/tests.rs
@@ -8,7 +8,7 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Connections that have just brought a response, and the node's ends of them. The clock stands still.
+/// Opens connections that count as just used, and returns them with the node's ends. Pauses the clock.
 async fn just_used_connections(count: usize) -> (Vec<PooledConnection>, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let permits = Arc::new(Semaphore::new(count));
@@ -30,13 +30,14 @@
 async fn connection_is_not_reused_while_a_duplicate_response_may_come() {
     let test = async {
         let (mut idle, mut node_ends) = just_used_connections(2).await;
-        // Some milliseconds on the second response may still be on its way.
+        // Less than the reuse delay has passed. A duplicate response that arrives now would be taken for the
+        // response to the next request.
         tokio::time::advance(Duration::from_millis(9)).await;
-        assert!(take_reusable(&mut idle).is_none(), "it would be taken for the response to the next request");
+        assert!(take_reusable(&mut idle).is_none(), "a duplicate response may still arrive");
         node_ends[1].write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
         tokio::time::advance(Duration::from_millis(11)).await;
-        let first = take_reusable(&mut idle).expect("the one on which nothing came");
-        assert!(idle.is_empty(), "the other is unusable");
+        let first = take_reusable(&mut idle).expect("no duplicate response on this connection");
+        assert!(idle.is_empty(), "the connection with the duplicate is dropped");
         drop(first);
     };
     LocalSet::new().run_until(test).await;
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -1,4 +1,4 @@
-//! What the connection of each client is doing, and which are evicted when descriptors are short.
+//! Tracks the state of each client connection, and evicts connections when the connection table is full.
 
 use std::cell::{Cell, RefCell};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,29 +7,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a client may take over the head of a request, from its connection or its first byte. The platform
-/// requires that a client which never ends its head is disconnected within 3 s.
+/// Maximum time that a client may take from its connection to the first byte of its first request, and from
+/// the first byte of a request to the end of its head. The platform requires that a client that never ends
+/// its head is disconnected within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// An idle connection is closed after this long.
+/// Duration after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// When the table is full, a connection may be evicted once its client has sent nothing for this long.
+/// Minimum time without a first byte before a new connection can be evicted. Applies when the table is full.
 const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// When the table is full, a connection may be evicted once its client has been sending a head for this long.
+/// Minimum time since the first byte of an incomplete head before a connection can be evicted. Applies when
+/// the table is full.
 const MIN_HEAD_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(1);
-/// When the table is full, a connection may be evicted once it has been idle for this long.
+/// Minimum idle time before a connection can be evicted. Applies when the table is full.
 const MIN_IDLE_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// Nothing has come yet.
+    /// The connection is open, and its client has not sent anything yet.
     AwaitingFirstByte,
-    /// A head has begun.
+    /// The head of a request has been received in part.
     ReadingHead,
-    /// A request is in progress, until its response is written.
+    /// A request is in progress; its response has not been written completely.
     ServingRequest,
-    /// Between requests.
+    /// A response has been written, and the next request has not begun.
     Idle,
-    /// To be closed; whatever is still read on it is discarded.
+    /// The connection is about to be closed; further input is discarded.
     Closing,
 }
 
@@ -45,21 +47,24 @@
     }
 }
 
-/// The place of one connection in the table.
+/// An entry of the connection table: the state of one connection.
 pub(super) struct ConnectionSlot {
     id: u64,
-    /// Behind a mutex because bodies of responses, which hold a [`RequestGuard`], must be `Send`, though
-    /// there is only one thread.
+    /// In a mutex, although there is only one thread, because response bodies hold a [`RequestGuard`] and must
+    /// be `Send`.
     status: Mutex<SlotStatus>,
+    /// Whether a request on this connection has been admitted before.
     admitted: AtomicBool,
+    /// Notified when the connection is evicted.
     evicted: Notify,
 }
 
-/// A request that has just begun on a connection.
+/// A request whose head has just been received.
 pub(super) struct StartedRequest {
-    /// When its first byte came.
+    /// Time at which the first byte of the request was read. For a pipelined request that was read together
+    /// with the previous one: time at which its processing started.
     pub(super) started_at: Instant,
-    /// To be held until its response is written.
+    /// Must be dropped once the response has been written.
     pub(super) guard: RequestGuard,
 }
 
@@ -76,14 +81,14 @@
         *self.status() = SlotStatus::now(state);
     }
 
-    /// Records that bytes have come from the client.
+    /// Records that bytes have been received from the client.
     pub(super) fn record_received_bytes(&self) {
         if matches!(self.state(), ConnectionState::AwaitingFirstByte | ConnectionState::Idle) {
             self.set_state(ConnectionState::ReadingHead);
         }
     }
 
-    /// Records that the head of a request is complete.
+    /// Records that the head of a request is complete and the request is now in progress.
     pub(super) fn start_request(self: &Arc<Self>) -> StartedRequest {
         let previous = *self.status();
         self.set_state(ConnectionState::ServingRequest);
@@ -94,17 +99,17 @@
         StartedRequest { started_at, guard: RequestGuard(self.clone()) }
     }
 
-    /// Whether a request has begun to come.
+    /// Returns whether the head of a request has been received in part.
     pub(super) fn is_reading_head(&self) -> bool {
         self.state() == ConnectionState::ReadingHead
     }
 
-    /// Whether a request is in progress.
+    /// Returns whether a request is in progress.
     pub(super) fn is_serving_request(&self) -> bool {
         self.state() == ConnectionState::ServingRequest
     }
 
-    /// Records that the connection is about to be closed: it no longer counts.
+    /// Records that the connection is about to be closed. It no longer counts towards the capacity.
     pub(super) fn start_closing(&self) {
         self.set_state(ConnectionState::Closing);
     }
@@ -114,14 +119,15 @@
         self.evicted.notify_one();
     }
 
-    /// Resolves once the connection is to be closed: its client has taken too long, or it has been evicted.
+    /// Resolves once the connection must be closed, because its client has taken too long or because it has
+    /// been evicted.
     pub(super) async fn expired(&self) {
         loop {
             let SlotStatus { state, since } = *self.status();
             let deadline = match state {
                 ConnectionState::AwaitingFirstByte | ConnectionState::ReadingHead => since + HEAD_TIMEOUT,
                 ConnectionState::Idle => since + IDLE_TIMEOUT,
-                // A request has its own deadline; this is when to look again.
+                // A request has its own deadline. This is only the time of the next check.
                 ConnectionState::ServingRequest => Instant::now() + HEAD_TIMEOUT,
                 ConnectionState::Closing => return,
             };
@@ -136,7 +142,7 @@
     }
 }
 
-/// Marks a connection as serving a request until it is dropped.
+/// Keeps a connection in the state of serving a request until the guard is dropped.
 pub(super) struct RequestGuard(Arc<ConnectionSlot>);
 
 impl Drop for RequestGuard {
@@ -149,19 +155,19 @@
 
 /// The connections of one listener.
 pub(super) struct ConnectionTable {
-    /// How many connections are served.
+    /// Maximum number of connections whose requests are served.
     capacity: usize,
     next_id: Cell<u64>,
     slots: RefCell<Vec<Arc<ConnectionSlot>>>,
 }
 
 impl ConnectionTable {
-    /// A table that serves at most `capacity` connections.
+    /// Creates a table that serves at most `capacity` connections.
     pub(super) fn new(capacity: usize) -> Self {
         ConnectionTable { capacity, next_id: Cell::new(0), slots: RefCell::default() }
     }
 
-    /// Adds a new connection.
+    /// Adds a new connection to the table.
     pub(super) fn insert(&self) -> Arc<ConnectionSlot> {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
@@ -175,12 +181,13 @@
         slot
     }
 
-    /// Removes a connection that is closed.
+    /// Removes a closed connection from the table.
     pub(super) fn remove(&self, slot: &ConnectionSlot) {
         self.slots.borrow_mut().retain(|other| other.id != slot.id);
     }
 
-    /// Whether a request on this connection is served. A connection that was admitted once stays admitted.
+    /// Returns whether a request on this connection is served: the number of open connections is within the
+    /// capacity, or a request on this connection has been admitted before.
     pub(super) fn admits(&self, slot: &ConnectionSlot) -> bool {
         if self.open_count() <= self.capacity {
             slot.admitted.store(true, Ordering::Relaxed);
@@ -188,19 +195,22 @@
         slot.admitted.load(Ordering::Relaxed)
     }
 
-    /// Whether one more connection would exceed the capacity.
+    /// Returns whether one more connection would exceed the capacity.
     pub(super) fn is_full(&self) -> bool {
         self.open_count() >= self.capacity
     }
 
-    /// How many connections are not closing.
+    /// Returns the number of connections that are not closing.
     fn open_count(&self) -> usize {
         self.slots.borrow().iter().filter(|slot| slot.state() != ConnectionState::Closing).count()
     }
 
-    /// If the table is full, evicts every connection that has stayed silent, and every one that has been
-    /// sending a head, for longer than the limits above; then, while there is no capacity for one more, those
-    /// that have been idle longest.
+    /// Evicts connections if the table is full.
+    ///
+    /// First evicts every connection that has been without a first byte for [`MIN_SILENCE_BEFORE_EVICTION`],
+    /// and every one that has had an incomplete head for [`MIN_HEAD_TIME_BEFORE_EVICTION`]. If the capacity
+    /// still does not allow one more connection, then evicts the longest idle connections until it does, except
+    /// those that have been idle for less than [`MIN_IDLE_TIME_BEFORE_EVICTION`].
     pub(super) fn evict_stale(&self) {
         if !self.is_full() {
             return;
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! One request to a storage node and its response, read completely or streamed.
+//! One request to a storage node and its response, which is either read completely or streamed.
 
 mod runner;
 
@@ -16,19 +16,20 @@
 
 pub(super) use self::runner::run_exchange;
 
-/// Judges the head of a response.
+/// Accepts or rejects a response based on its status and headers.
 pub type HeadPredicate = dyn Fn(StatusCode, &HeaderMap) -> bool;
 
-/// Which responses are streamed to the client as they come, rather than read completely first.
+/// Decides whether a response is streamed to the client as it arrives or is read completely first.
 pub struct StreamingRule {
-    /// Only responses whose body is longer than this, in bytes.
+    /// A response is streamed only if its `Content-Length` exceeds this, in bytes. A response without
+    /// `Content-Length` is never streamed.
     pub min_body_len: u64,
-    /// Only responses whose head this accepts.
+    /// A response is streamed only if this accepts its head.
     pub accepts: Box<HeadPredicate>,
 }
 
 impl StreamingRule {
-    /// No response is streamed.
+    /// Creates a rule by which no response is streamed.
     pub fn never() -> Self {
         StreamingRule { min_body_len: 0, accepts: Box::new(|_, _| false) }
     }
@@ -38,57 +39,63 @@
     }
 }
 
-/// One request to a node, and what is to be done about its response.
+/// One request to a storage node, and how to handle its response.
 pub struct Exchange {
-    /// Builds the request once its connection is open, so that it states the time that is left then; it is
-    /// sent once. `None`: nobody waits for it any more, and it must not begin.
+    /// Builds the request once its connection is open, so that the request states the time remaining at that
+    /// point. Called at most once. Returns `None` if the client no longer waits for the response and the request
+    /// must not be sent.
     pub build_request: Box<dyn FnMut() -> Option<Request<Full<Bytes>>>>,
-    /// When to give it up.
+    /// Time at which the exchange times out. Does not apply once the response is being streamed.
     pub deadline: Instant,
-    /// Resolves once it is cancelled.
+    /// Resolves once the exchange is cancelled. Not observed once the response is being streamed.
     pub cancelled: oneshot::Receiver<()>,
-    /// Gives up a response that has begun and of which nothing new has come for this long.
+    /// Duration after which a response that has begun counts as stalled: its head is incomplete for this long
+    /// after its first byte, or no further part of its body arrives for this long.
     pub stall_timeout: Duration,
-    /// Which responses are streamed.
+    /// Decides whether the response is streamed.
     pub streaming: StreamingRule,
-    /// The longest body that is read completely before it counts, in bytes; a longer one has failed.
+    /// Maximum length of a body that is read completely, in bytes. A response with a longer body that is not
+    /// streamed fails as malformed.
     pub max_body_len: usize,
-    /// Receives [`ExchangeEvent::StreamStarted`] if the response is streamed, and then the final event.
+    /// Receives [`ExchangeEvent::StreamStarted`] if the response is streamed, and in any case exactly one
+    /// final event.
     pub on_event: Box<dyn FnMut(ExchangeEvent)>,
 }
 
-/// What becomes of an exchange.
+/// The progress or the result of an exchange.
 #[derive(Debug)]
 pub enum ExchangeEvent {
-    /// The complete response.
+    /// Final event: the response has been read completely.
     Completed(Response<Bytes>),
-    /// The head of a response whose body follows; one final event will come.
+    /// The head of a response whose body is streamed; a final event follows.
     StreamStarted(Response<StreamedBody>),
-    /// The streamed body is complete.
+    /// Final event: the streamed body is complete.
     StreamCompleted,
-    /// It ended without a complete response.
+    /// Final event: the exchange ended without a complete response.
     Failed(ExchangeFailure),
 }
 
 /// Why an exchange ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeFailure {
-    /// No descriptor is left for a connection.
+    /// No pooled connection was reusable, and the limit on open connections did not allow a new one.
     DescriptorsExhausted,
-    /// Cancelled or no longer wanted before it was written completely: the node has not begun it, and that
-    /// says nothing about the node.
+    /// The exchange was cancelled before the request was written completely, or its client no longer waited for
+    /// the response. The node has not started the request, and the failure does not indicate a fault of the
+    /// node.
     NotStarted,
-    /// No connection could be opened, or it broke, or the deadline passed, before the request was written
-    /// completely. The node has not started the request.
+    /// Before the request was written completely, the connection could not be established, the connection
+    /// failed, or the deadline passed. The node has not started the request.
     NotDelivered,
-    /// The connection broke after the request was written.
+    /// The connection failed after the request was written completely, or reading a streamed body failed.
     ConnectionReset,
-    /// What came back is not a response, or stopped halfway: the request has run, and only this connection is
-    /// unusable.
+    /// The response is not valid HTTP, is too long, or stalled before it was complete. The node has run the
+    /// request, and only this connection is unusable.
     MalformedResponse,
-    /// No response in time.
+    /// No complete response arrived before the deadline, or a streamed body stalled.
     TimedOut,
-    /// Cancelled, or the client of a streamed response disconnected.
+    /// The exchange was cancelled after the request was written completely, or the client of a streamed
+    /// response disconnected. The node may have run the request.
     Cancelled,
 }
 
@@ -102,15 +109,15 @@
     }
 }
 
-/// The end of an exchange on a connection.
+/// The result of an exchange, and whether its connection can be reused.
 pub(super) struct ExchangeEnd {
-    /// The final event.
+    /// The final event to report.
     pub(super) event: ExchangeEvent,
-    /// Whether the connection can carry another request.
+    /// Whether another request can be sent on the connection.
     pub(super) connection_reusable: bool,
 }
 
-/// The body of a streamed response.
+/// The body of a streamed response. It ends with an error if the node's response breaks off.
 #[derive(Debug)]
 pub struct StreamedBody(mpsc::Receiver<io::Result<Bytes>>);
 
--- a/src/transport/exchange/runner.rs
+++ b/src/transport/exchange/runner.rs
@@ -14,10 +14,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How many chunks of a streamed body may wait for the client.
+/// Maximum number of chunks of a streamed body that are buffered for the client.
 const STREAM_BUFFER_CHUNKS: usize = 4;
 
 /// Sends the request and receives its response.
+///
+/// Reports the start of a stream to the exchange's `on_event`; the caller reports the final event.
 pub(in crate::transport) async fn run_exchange(
     exchange: &mut Exchange,
     connection: &mut NodeConnection,
@@ -27,7 +29,7 @@
         Ok(event) => ExchangeEnd { event, connection_reusable: true },
         Err(failure) => {
             let failure = match failure {
-                // Given up before its last byte was written: it never ran.
+                // The request was abandoned before its last byte was written, so the node has not started it.
                 ExchangeFailure::TimedOut if !connection.is_request_written() => {
                     ExchangeFailure::NotDelivered
                 }
@@ -39,7 +41,7 @@
     }
 }
 
-/// Brings the final event once the response has been received completely.
+/// Receives the response and returns the final event once it is complete.
 async fn receive_response(
     exchange: &mut Exchange,
     connection: &mut NodeConnection,
@@ -50,7 +52,7 @@
     if exchange.streaming.applies(body_len, head.status, &head.headers) {
         return stream_body(exchange, head, body).await;
     }
-    // A body that is declared to be too long is not read to find out.
+    // A body whose `Content-Length` is too long is rejected without being read.
     if body_len > exchange.max_body_len as u64 {
         return Err(ExchangeFailure::MalformedResponse);
     }
@@ -64,11 +66,11 @@
     mut request: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, ExchangeFailure> {
     let interim_received = Arc::new(AtomicBool::new(false));
-    let on_interim = interim_received.clone();
-    hyper::ext::on_informational(&mut request, move |_| on_interim.store(true, Ordering::Relaxed));
+    let interim_flag = interim_received.clone();
+    hyper::ext::on_informational(&mut request, move |_| interim_flag.store(true, Ordering::Relaxed));
     let read_activity = connection.reset_read_activity();
     let mut response = pin!(connection.send_request(request));
-    // A head that has begun and does not go on would occupy the request until its deadline.
+    // Without this limit, a response whose head stalls would occupy the request until its deadline.
     let mut stall_deadline: Option<Instant> = None;
     loop {
         tokio::select! {
@@ -82,7 +84,8 @@
             () = tokio::time::sleep_until(stall_deadline.unwrap_or(exchange.deadline)),
                 if stall_deadline.is_some() =>
             {
-                // 1xx responses announce that the final one is to come, not when.
+                // An interim (1xx) response announces a final response but not its time: the stall timeout
+                // starts again with the next byte.
                 if !interim_received.swap(false, Ordering::Relaxed) {
                     return Err(ExchangeFailure::MalformedResponse);
                 }
@@ -114,8 +117,10 @@
     }
 }
 
-/// Forwards the body as it comes, from this one attempt. If it breaks off, so does the response to the
-/// client, short of its Content-Length; nothing else may ever continue it.
+/// Forwards the body to the client as it arrives.
+///
+/// The whole body comes from this one attempt: if it breaks off, the response to the client breaks off before
+/// its `Content-Length` as well, and must not be continued from another attempt.
 async fn stream_body(
     exchange: &mut Exchange,
     head: response::Parts,
@@ -147,8 +152,8 @@
     }
 }
 
-/// Ends a streamed body with an error.
+/// Ends a streamed body with an error, so that the response to the client breaks off.
 async fn abort_stream(chunks: &mpsc::Sender<io::Result<Bytes>>) {
-    // If the client has disconnected as well, there is nothing to abort.
+    // Sending fails only if the client has disconnected as well; the stream has then already ended.
     let _ = chunks.send(Err(io::ErrorKind::ConnectionReset.into())).await;
 }
--- a/src/transport/lifecycle.rs
+++ b/src/transport/lifecycle.rs
@@ -1,16 +1,16 @@
-//! The phases of a graceful shutdown, as listeners and connections see them.
+//! The phases of a graceful shutdown that listeners and connections respond to.
 
-/// How far the program has come in its graceful shutdown.
+/// The phase that the graceful shutdown has reached. Phases are ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum LifecyclePhase {
-    /// In service.
+    /// Normal operation: no shutdown has been requested.
     Serving,
-    /// About to stop: still accepting connections.
+    /// Shutdown has been requested; new connections are still accepted.
     Terminating,
-    /// No longer accepting; open connections are still served.
+    /// New connections are no longer accepted; open connections are still served.
     Draining,
-    /// Each response closes its connection.
+    /// Each response closes its connection, by `Connection: close`.
     FinalResponses,
-    /// Idle connections are closed as well.
+    /// Connections that are idle are closed as well.
     ClosingIdle,
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,20 +1,21 @@
-//! Sockets: connections of clients and connections to storage nodes, and nothing of what they carry.
+//! HTTP/1 connections from clients and to storage nodes. This module does not interpret the requests and
+//! responses that it transfers.
 //!
-//! Towards clients:
-//! - `server`: the accept loop of one listener, up to its graceful shutdown;
+//! The client side:
+//! - `server`: the accept loop of one listener, including its graceful shutdown;
 //! - `lifecycle`: the phases of the graceful shutdown;
-//! - `client_connection`: one connection, its requests and its close;
-//! - `client_stream`: its socket, with bytes read ahead of hyper and a timeout on writes;
-//! - `connection_table`: the state of each connection, and which are evicted when descriptors are short;
-//! - `request_framing`: finds requests that state the length of their body twice;
-//! - `body`: bodies of responses.
+//! - `client_connection`: serves the requests of one connection and closes it;
+//! - `client_stream`: the socket of a client connection, with a read-ahead buffer and a write timeout;
+//! - `connection_table`: tracks the state of each connection and evicts connections when the table is full;
+//! - `request_framing`: detects requests with both `Content-Length` and `Transfer-Encoding`;
+//! - `body`: response bodies.
 //!
-//! Towards storage nodes:
-//! - `connection_pool`: the connections to one node, owned by an actor;
-//! - `exchange`: one request and its response, read completely or streamed;
-//! - `node_connection`: one connection, and how much of a request has been written to it.
+//! The storage node side:
+//! - `connection_pool`: an actor that owns the connections to one node;
+//! - `exchange`: one request and its response, which is either read completely or streamed;
+//! - `node_connection`: one connection, and how much of the current request has been written to it.
 //!
-//! Both stand on `socket`.
+//! Both sides use `socket`, which reads and writes sockets through shared references.
 
 mod body;
 mod client_connection;
--- a/src/transport/node_connection/mod.rs
+++ b/src/transport/node_connection/mod.rs
@@ -20,41 +20,44 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// The head of a response must fit into this, in bytes: one that never ends is given up.
+/// Maximum length of a response head, in bytes. Bounds the memory for a head that never ends.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
-/// Why a request brought no response.
+/// Why no response to a request was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// The request's last byte was never written: the node has not begun it.
-    #[error("the connection broke before the request was written")]
+    /// The request was not written completely to the socket. The node has not started the request.
+    #[error("connection failed before the request was completely written")]
     WriteIncomplete,
-    /// The request was written completely, or may have been.
-    #[error("the connection broke after the request was written")]
+    /// The connection failed after the request was, or may have been, written completely.
+    #[error("connection failed after the request was written")]
     ConnectionReset,
-    /// The request was written completely, and what came back is not a response.
-    #[error("the answer cannot be read")]
+    /// The request was written completely, and the response could not be parsed.
+    #[error("response is malformed")]
     MalformedResponse,
 }
 
 impl SendError {
-    /// Classifies an error that came after the request was written.
+    /// Classifies an error that occurred after the request was written completely.
     pub(super) fn from_receive_error(error: &hyper::Error) -> Self {
         if is_malformed(error) { SendError::MalformedResponse } else { SendError::ConnectionReset }
     }
 }
 
-/// Whether an error means that what came cannot be parsed, rather than that the connection broke.
+/// Returns whether an error means that the response could not be parsed, rather than that the connection
+/// failed.
 fn is_malformed(error: &hyper::Error) -> bool {
     use io::ErrorKind::{
         BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof,
     };
     let source = error.source().and_then(|source| source.downcast_ref::<io::Error>());
-    let broken = [BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof];
-    error.is_parse() || source.is_some_and(|source| !broken.contains(&source.kind()))
+    let disconnect_kinds =
+        [BrokenPipe, ConnectionAborted, ConnectionReset, NotConnected, TimedOut, UnexpectedEof];
+    error.is_parse() || source.is_some_and(|source| !disconnect_kinds.contains(&source.kind()))
 }
 
-/// A connection that carries one request at a time. Dropping it closes it, whatever it is doing.
+/// A connection that is used for one request at a time. Dropping it closes the socket, even during a
+/// request.
 pub struct NodeConnection {
     sender: SendRequest<Full<Bytes>>,
     stream: Rc<TcpStream>,
@@ -64,7 +67,7 @@
 }
 
 impl NodeConnection {
-    /// Opens a connection. Must be called on a `LocalSet`.
+    /// Opens a connection and spawns the task that drives it. Must be called on a `LocalSet`.
     ///
     /// # Errors
     ///
@@ -81,26 +84,27 @@
         });
         let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_LEN).handshake(io);
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
-        // The error reaches whoever waits for the response; here it only ends the driver.
+        // The error is ignored here because hyper also reports it to the pending request.
         let driver = tokio::task::spawn_local(async move { drop(connection.await) });
         Ok(NodeConnection { sender, stream, write_progress, read_activity, driver })
     }
 
-    /// Whether it can take a request: nothing has come on it since the last response, and the node has not
-    /// closed it.
+    /// Returns whether a request can be sent on the connection: the node has neither sent anything since the
+    /// last response nor closed the connection.
     ///
-    /// This queries the socket itself, as hyper learns of it only in the runtime's next turn: a second copy
-    /// of the last response would be taken for the response to the next request.
+    /// This checks the socket directly because hyper detects new bytes only when the runtime next polls the
+    /// connection. A duplicate of the last response would then be taken for the response to the next request.
     pub fn is_reusable(&self) -> bool {
         let peeked = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         self.sender.is_ready() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends the request once, and waits for the head of the response.
+    /// Sends the request, without retries, and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns an error if no response came: [`SendError`] tells whether the node may have begun the request.
+    /// Returns an error if no response was received. The [`SendError`] states whether the node may have started
+    /// the request.
     pub async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -115,13 +119,13 @@
         })
     }
 
-    /// The record of incoming bytes, reset: what came before does not count.
+    /// Resets the record of received bytes, so that earlier bytes no longer count, and returns it.
     pub(super) fn reset_read_activity(&self) -> Rc<ReadActivity> {
         self.read_activity.reset();
         self.read_activity.clone()
     }
 
-    /// Whether the current request has been written completely.
+    /// Returns whether the current request has been written completely.
     pub(super) fn is_request_written(&self) -> bool {
         self.write_progress.is_complete()
     }
--- a/src/transport/node_connection/monitored_stream.rs
+++ b/src/transport/node_connection/monitored_stream.rs
@@ -1,4 +1,4 @@
-//! A socket to a storage node that records what passes through it.
+//! A stream to a storage node that records which bytes are written and whether bytes are received.
 
 use super::write_progress::WriteProgress;
 use crate::transport::socket::SharedSocket;
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What hyper reads from and writes to in place of the socket.
+/// The stream through which hyper reads from and writes to the socket.
 pub(super) struct MonitoredStream {
     pub(super) stream: Rc<TcpStream>,
     pub(super) write_progress: Rc<WriteProgress>,
@@ -35,7 +35,7 @@
         Poll::Ready(Ok(length))
     }
 
-    /// Writes go to the kernel at once.
+    /// Does nothing: writes are not buffered but passed to the kernel at once.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Whether bytes have come from the node since the last reset.
+/// Records whether bytes have been received from the node since the last reset.
 #[derive(Default)]
 pub(in crate::transport) struct ReadActivity {
     received: Cell<bool>,
@@ -58,14 +58,14 @@
         self.notify.notify_one();
     }
 
-    /// Resolves once bytes have come since the last reset.
+    /// Resolves once bytes have been received since the last reset.
     pub(in crate::transport) async fn received(&self) {
         while !self.received.get() {
             self.notify.notified().await;
         }
     }
 
-    /// Disregards what has come so far.
+    /// Clears the record, so that only bytes received from now on count.
     pub(in crate::transport) fn reset(&self) {
         self.received.set(false);
     }
--- a/src/transport/node_connection/write_progress/mod.rs
+++ b/src/transport/node_connection/write_progress/mod.rs
@@ -1,33 +1,34 @@
-//! How much of the current request has been written to the socket.
+//! Tracks how much of the current request has been written to the socket.
 //!
-//! hyper does not tell: it says that a message failed, not whether its last byte had been written, and on
-//! that depends whether the node may have run the request.
+//! When a request fails, hyper does not report whether its last byte had been written. The node may have run
+//! the request only if it had.
 
 use std::cell::Cell;
 
 /// The length of `\r\n\r\n`, which ends the head of a request.
 const HEAD_END_LEN: usize = 4;
 
-/// Counts the bytes written of one request at a time.
+/// Tracks whether the current request has been written completely: its head and all bytes of its body.
 #[derive(Default)]
 pub(super) struct WriteProgress {
-    /// Bytes of the body that are to follow the head.
+    /// Length of the request body, in bytes.
     body_len: Cell<usize>,
-    /// How many bytes of the head's end the last bytes written match; [`HEAD_END_LEN`] once the head is
-    /// written.
+    /// Number of leading bytes of `\r\n\r\n` that the most recently written bytes match. [`HEAD_END_LEN`] once
+    /// the head has been written.
     head_end_matched: Cell<usize>,
+    /// Number of body bytes written so far.
     body_written: Cell<usize>,
 }
 
 impl WriteProgress {
-    /// Starts counting for a request with a body of `body_len` bytes.
+    /// Starts tracking a new request, whose body is `body_len` bytes long.
     pub(super) fn start_request(&self, body_len: usize) {
         self.body_len.set(body_len);
         self.head_end_matched.set(0);
         self.body_written.set(0);
     }
 
-    /// Counts bytes that have been written.
+    /// Records bytes that have been written to the socket.
     pub(super) fn record(&self, written: &[u8]) {
         let mut matched = self.head_end_matched.get();
         for (position, byte) in written.iter().enumerate() {
@@ -44,7 +45,7 @@
         self.head_end_matched.set(matched);
     }
 
-    /// Whether the request has been written completely.
+    /// Returns whether the current request has been written completely.
     pub(super) fn is_complete(&self) -> bool {
         self.head_end_matched.get() == HEAD_END_LEN && self.body_written.get() >= self.body_len.get()
     }
--- a/src/transport/node_connection/write_progress/tests.rs
+++ b/src/transport/node_connection/write_progress/tests.rs
@@ -7,10 +7,10 @@
         let progress = WriteProgress::default();
         progress.start_request(4);
         progress.record(&text[..split]);
-        assert!(!progress.is_complete(), "{split} bytes are not all");
+        assert!(!progress.is_complete(), "only {split} bytes have been written");
         progress.record(&text[split..]);
         assert!(progress.is_complete());
         progress.start_request(4);
-        assert!(!progress.is_complete(), "the next request has not begun");
+        assert!(!progress.is_complete(), "nothing of the next request has been written");
     }
 }
--- a/src/transport/request_framing/mod.rs
+++ b/src/transport/request_framing/mod.rs
@@ -1,43 +1,45 @@
-//! Finds requests that state the length of their body twice.
+//! Detects requests with both `Content-Length` and `Transfer-Encoding`.
 //!
-//! hyper drops `Content-Length` from a chunked request, so that it cannot be told from one that stated its
-//! length once; but a body whose length is stated twice may hide another request (request smuggling).
+//! An intermediary may find the end of the body by the other of the two headers than this server does, so that
+//! the body can hide another request (request smuggling). hyper removes `Content-Length` from a chunked
+//! request, so the conflict can only be detected in the bytes of the request.
 
-/// How many bytes of a line are stored: enough for the names and numbers that count here.
+/// Maximum number of bytes stored per line: enough for the header names and numbers that are parsed here.
 const MAX_STORED_LINE_LEN: usize = 64;
 
-/// What comes next on the connection.
+/// The part of a request to which the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ParserState {
-    /// A request line, or blank lines before it.
+    /// The request line, or blank lines before it.
     #[default]
     RequestLine,
-    /// Header fields, or the blank line that ends them.
+    /// The header fields, or the blank line after them.
     HeaderFields,
-    /// A body.
+    /// The body.
     Body {
-        /// Bytes of it still to come.
+        /// Number of bytes of the body that have not been received yet.
         remaining: u64,
     },
-    /// Nothing that matters: after a chunked request the connection is closed.
+    /// The body of a chunked request. Parsing stops here because such a request is the connection's last.
     Finished,
 }
 
-/// Follows the heads of the requests that come on a client's connection.
+/// Parses the heads of the requests on a client connection as far as needed to find the length of each body.
 #[derive(Debug, Default)]
 pub(super) struct RequestFraming {
     state: ParserState,
     /// The beginning of the line being read, at most [`MAX_STORED_LINE_LEN`] bytes.
     line: Vec<u8>,
-    /// `Content-Length` of the head being read.
+    /// `Content-Length` of the head being read, if it has been read already; 0 if it is not a valid number.
     content_length: Option<u64>,
-    /// Whether the head being read states a `Transfer-Encoding`.
+    /// Whether the head being read has a `Transfer-Encoding`.
     chunked: bool,
+    /// Whether the last complete head had both headers.
     conflicting_length: bool,
 }
 
 impl RequestFraming {
-    /// Takes the next bytes read from the connection.
+    /// Parses the next bytes that have been read from the connection.
     pub(super) fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.state {
@@ -48,12 +50,13 @@
         }
     }
 
-    /// Whether the chunked request on this connection, always its last, states a length as well.
+    /// Returns whether the chunked request on this connection, which is always its last request, also has a
+    /// `Content-Length`.
     pub(super) fn conflicting_length(&self) -> bool {
         self.conflicting_length
     }
 
-    /// Skips what `bytes` holds of the body, and returns the rest.
+    /// Skips the bytes of the body at the start of `bytes`, and returns the remaining bytes.
     fn skip_body<'b>(&mut self, remaining: u64, bytes: &'b [u8]) -> &'b [u8] {
         let skipped = usize::try_from(remaining).unwrap_or(usize::MAX).min(bytes.len());
         let remaining = remaining - skipped as u64;
@@ -61,7 +64,7 @@
         &bytes[skipped..]
     }
 
-    /// Reads up to the end of the line, and returns what comes behind it.
+    /// Reads up to the end of the current line, and returns the remaining bytes.
     fn read_line<'b>(&mut self, bytes: &'b [u8]) -> &'b [u8] {
         let newline = bytes.iter().position(|byte| *byte == b'\n');
         let part = &bytes[..newline.unwrap_or(bytes.len())];
@@ -95,13 +98,14 @@
     }
 
     fn read_header_field(&mut self, line: &[u8]) {
-        let mut halves = line.splitn(2, |byte| *byte == b':');
-        let name = halves.next().unwrap_or_default();
-        let value = halves.next().unwrap_or_default();
+        let mut name_and_value = line.splitn(2, |byte| *byte == b':');
+        let name = name_and_value.next().unwrap_or_default();
+        let value = name_and_value.next().unwrap_or_default();
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.chunked = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
-            // hyper accepts no request whose length is not a plain number, or differs from another.
+            // hyper rejects requests whose `Content-Length` is not a plain number, and those with several
+            // different ones.
             let number = std::str::from_utf8(value.trim_ascii()).ok();
             self.content_length = Some(number.and_then(|digits| digits.parse().ok()).unwrap_or(0));
         }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! The accept loop of one listener, from its first connection to its graceful shutdown.
+//! The accept loop of one listener, including its graceful shutdown.
 
 use super::ResponseBody;
 use super::client_connection::{ClientConnection, RequestContext};
@@ -16,27 +16,29 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// How often a full listener looks for connections to evict.
+/// Interval at which connections are checked for eviction while the connection table is full.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
-/// How long to wait after a failed accept.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// How many connections a listener holds open.
+/// Maximum numbers of open connections of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections whose requests are served.
+    /// Maximum number of connections whose requests are served.
     pub served: usize,
-    /// Connections beyond those, whose requests are rejected.
+    /// Maximum number of additional connections, whose requests are rejected because of overload.
     pub rejected: usize,
 }
 
-/// A connection, and its permit to be open.
+/// An accepted connection and its permit, which limits the number of open connections.
 struct AcceptedConnection {
     stream: TcpStream,
     permit: OwnedSemaphorePermit,
 }
 
-/// Accepts and serves connections until the phase is past [`LifecyclePhase::Terminating`] and all of them are
+/// Accepts connections and serves their requests with `service`.
+///
+/// Stops accepting once `phase` is past [`LifecyclePhase::Terminating`], and returns once all connections are
 /// closed. Must be called on a `LocalSet`.
 pub async fn serve<S, F>(
     listener: TcpListener,
@@ -53,8 +55,8 @@
     let mut connections = JoinSet::new();
     let mut draining = pin!(wait_for_draining(phase.clone()));
     loop {
-        // Guards against silent connections by the hundred: they would fill the table, and clients with
-        // requests would wait in the kernel's queue.
+        // Guards against hundreds of silent connections: they would fill the table, and clients with
+        // requests would wait in the kernel's accept queue.
         table.evict_stale();
         let accepted = tokio::select! {
             biased;
@@ -64,8 +66,8 @@
             () = tokio::time::sleep(EVICTION_INTERVAL), if table.is_full() => continue,
         };
         let Ok(AcceptedConnection { stream, permit }) = accepted else {
-            // Out of descriptors, or the client disconnected in between: neither may end the listener, nor
-            // make it spin.
+            // The process has run out of descriptors, or the client disconnected before it was accepted.
+            // Neither may stop the listener or make it spin.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
@@ -81,13 +83,13 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Resolves once no more connections are to be accepted.
+/// Resolves once new connections must no longer be accepted.
 async fn wait_for_draining(mut phase: watch::Receiver<LifecyclePhase>) {
     drop(phase.wait_for(|phase| *phase > LifecyclePhase::Terminating).await);
 }
 
-/// Accepts a connection once there is a permit for it. Without one nothing is accepted: the kernel's queue
-/// holds what comes, up to its length.
+/// Accepts a connection once a permit is available. Until then, new connections wait in the kernel's accept
+/// queue, whose length limits their number.
 async fn accept(listener: &TcpListener, permits: &Arc<Semaphore>) -> io::Result<AcceptedConnection> {
     let permit = permits.clone().acquire_owned().await.map_err(io::Error::other)?;
     let (stream, _) = listener.accept().await?;
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,4 +1,4 @@
-//! Reading and writing a socket through a shared reference.
+//! Reads and writes a socket through a shared reference.
 
 use socket2::SockRef;
 use std::io;
@@ -6,24 +6,26 @@
 use std::task::{Context, Poll, ready};
 use tokio::net::TcpStream;
 
-/// A socket with several owners, any of which may read or write it: hyper and a watcher for its closing, for
-/// one.
+/// A socket with several owners, each of which may read and write it. For example, hyper uses a client's
+/// socket while the connection checks it for a disconnect.
 pub(super) trait SharedSocket {
-    /// Calls `read` once the socket is readable, and again as long as it turns out not to be.
+    /// Calls `read` once the socket is readable, and retries while `read` returns
+    /// [`io::ErrorKind::WouldBlock`].
     fn poll_read_with<T>(
         &self,
         cx: &mut Context<'_>,
         read: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>>;
 
-    /// Calls `write` once the socket is writable, and again as long as it turns out not to be.
+    /// Calls `write` once the socket is writable, and retries while `write` returns
+    /// [`io::ErrorKind::WouldBlock`].
     fn poll_write_with<T>(
         &self,
         cx: &mut Context<'_>,
         write: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>>;
 
-    /// Closes the sending half: the other side reads the end of the stream.
+    /// Shuts down the sending half of the connection: the peer reads the end of the stream.
     fn shutdown_write(&self) -> io::Result<()>;
 }
 
@@ -59,7 +61,7 @@
     }
 }
 
-/// `None` if the socket was not ready after all.
+/// Returns `None` if the operation would have blocked, that is, if the socket was not ready after all.
 fn unless_would_block<T>(result: io::Result<T>) -> Option<io::Result<T>> {
     match result {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => None,
