--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -25,16 +25,16 @@
 
 /// Maximum time for which bytes from the client are read and discarded before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time without any byte from the client after which lingering ends early.
+/// Duration without input from the client after which lingering ends early.
 const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Replaces [`LINGER_TIMEOUT`] from [`LifecyclePhase::FinalResponses`] on.
+/// Replaces [`LINGER_TIMEOUT`] during a graceful shutdown, from [`LifecyclePhase::FinalResponses`] on.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval at which a client is checked for a disconnect once it has filled the read-ahead buffer with bytes
 /// that follow its request. The platform requires that nothing is forwarded more than 0.1 s after a client
 /// has disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Properties of a request that only its connection can determine.
+/// Properties of a request that its connection determines.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
     /// Whether the request is served or rejected because of overload.
@@ -145,8 +145,8 @@
         loop {
             tokio::select! {
                 biased;
-                // hyper is done: the last response was written, or the connection failed. A request that is
-                // still in flight is cancelled when `connection` is dropped, after lingering (see
+                // hyper has finished: the last response was written, or the connection failed. A request that
+                // is still in flight is cancelled when `connection` is dropped, after lingering (see
                 // docs/open.md).
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ConnectionEnd::Finished,
                 // The client disconnected and hyper has not detected it: `connection` is dropped at once,
--- a/src/transport/client_stream.rs
+++ b/src/transport/client_stream.rs
@@ -51,9 +51,9 @@
 
     /// Returns ready once the client has closed the connection, or the connection has failed.
     ///
-    /// Bytes that arrive before that are buffered for hyper, which is woken to read them because they may belong
-    /// to the body of the current request. Once the buffer is full, the socket is checked at each tick of
-    /// `check_interval`.
+    /// Bytes that arrive before that are buffered for hyper, which is woken to read them because they may
+    /// belong to the body of the current request. Once the buffer is full, the socket is checked at each tick
+    /// of `check_interval`.
     pub(super) fn poll_closed(&self, cx: &mut Context<'_>, check_interval: &mut Interval) -> Poll<()> {
         let mut buffer = self.buffer.borrow_mut();
         while buffer.len() < READ_BUFFER_LEN {
--- a/src/transport/connection_pool/mod.rs
+++ b/src/transport/connection_pool/mod.rs
@@ -37,7 +37,8 @@
 enum Command {
     Execute(Box<Exchange>),
     Return(PooledConnection),
-    /// Closes idle connections that were last used before this time, and discards those that are returned.
+    /// Closes idle connections that were last used before this time, and any such connection that is returned
+    /// later.
     InvalidateBefore(Instant),
     AddressChanged(SocketAddr),
     NodeRestarted,
@@ -223,8 +224,8 @@
     }
 }
 
-/// Returns whether the end of an exchange shows that the node may have failed. Requests written to idle
-/// connections that were last used before this exchange would then be lost as well.
+/// Returns whether the end of an exchange suggests that the node's machine has failed. Requests written to
+/// idle connections that were last used before this exchange would then be lost as well.
 fn invalidates_idle_connections(event: &ExchangeEvent) -> bool {
     use ExchangeFailure::{ConnectionReset, NotDelivered, TimedOut};
     matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | NotDelivered))
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -50,8 +50,8 @@
 /// An entry of the connection table: the state of one connection.
 pub(super) struct ConnectionSlot {
     id: u64,
-    /// In a mutex, although there is only one thread, because response bodies hold a [`RequestGuard`] and must
-    /// be `Send`.
+    /// In a mutex, although there is only one thread, because response bodies hold a [`RequestGuard`] and
+    /// must be `Send`.
     status: Mutex<SlotStatus>,
     /// Whether a request on this connection has been admitted before.
     admitted: AtomicBool,
@@ -64,7 +64,7 @@
     /// Time at which the first byte of the request was read. For a pipelined request that was read together
     /// with the previous one: time at which its processing started.
     pub(super) started_at: Instant,
-    /// Must be dropped once the response has been written.
+    /// Must be kept until the response has been written.
     pub(super) guard: RequestGuard,
 }
 
@@ -209,8 +209,8 @@
     ///
     /// First evicts every connection that has been without a first byte for [`MIN_SILENCE_BEFORE_EVICTION`],
     /// and every one that has had an incomplete head for [`MIN_HEAD_TIME_BEFORE_EVICTION`]. If the capacity
-    /// still does not allow one more connection, then evicts the longest idle connections until it does, except
-    /// those that have been idle for less than [`MIN_IDLE_TIME_BEFORE_EVICTION`].
+    /// still does not allow one more connection, then evicts the longest idle connections until it does,
+    /// except those that have been idle for less than [`MIN_IDLE_TIME_BEFORE_EVICTION`].
     pub(super) fn evict_stale(&self) {
         if !self.is_full() {
             return;
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -42,15 +42,16 @@
 /// One request to a storage node, and how to handle its response.
 pub struct Exchange {
     /// Builds the request once its connection is open, so that the request states the time remaining at that
-    /// point. Called at most once. Returns `None` if the client no longer waits for the response and the request
-    /// must not be sent.
+    /// point. Called at most once. Returns `None` if the client no longer waits for the response and the
+    /// request must not be sent.
     pub build_request: Box<dyn FnMut() -> Option<Request<Full<Bytes>>>>,
     /// Time at which the exchange times out. Does not apply once the response is being streamed.
     pub deadline: Instant,
     /// Resolves once the exchange is cancelled. Not observed once the response is being streamed.
     pub cancelled: oneshot::Receiver<()>,
     /// Duration after which a response that has begun counts as stalled: its head is incomplete for this long
-    /// after its first byte, or no further part of its body arrives for this long.
+    /// after its first byte and no interim (1xx) response arrived meanwhile, or no further part of its body
+    /// arrives for this long.
     pub stall_timeout: Duration,
     /// Decides whether the response is streamed.
     pub streaming: StreamingRule,
@@ -80,9 +81,9 @@
 pub enum ExchangeFailure {
     /// No pooled connection was reusable, and the limit on open connections did not allow a new one.
     DescriptorsExhausted,
-    /// The exchange was cancelled before the request was written completely, or its client no longer waited for
-    /// the response. The node has not started the request, and the failure does not indicate a fault of the
-    /// node.
+    /// The exchange was cancelled before the request was written completely, or its client no longer waited
+    /// for the response. The node has not started the request, and the failure does not indicate a fault of
+    /// the node.
     NotStarted,
     /// Before the request was written completely, the connection could not be established, the connection
     /// failed, or the deadline passed. The node has not started the request.
@@ -92,7 +93,8 @@
     /// The response is not valid HTTP, is too long, or stalled before it was complete. The node has run the
     /// request, and only this connection is unusable.
     MalformedResponse,
-    /// No complete response arrived before the deadline, or a streamed body stalled.
+    /// The request was written completely, but no complete response arrived before the deadline, or a
+    /// streamed body stalled.
     TimedOut,
     /// The exchange was cancelled after the request was written completely, or the client of a streamed
     /// response disconnected. The node may have run the request.
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1 connections from clients and to storage nodes. This module does not interpret the requests and
-//! responses that it transfers.
+//! HTTP/1 connections from clients and to storage nodes, independent of the application protocols that use
+//! them.
 //!
 //! The client side:
 //! - `server`: the accept loop of one listener, including its graceful shutdown;
--- a/src/transport/node_connection/mod.rs
+++ b/src/transport/node_connection/mod.rs
@@ -20,7 +20,8 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Maximum length of a response head, in bytes. Bounds the memory for a head that never ends.
+/// Maximum length of a response head, in bytes. A longer head fails the request, which guards against heads
+/// that never end.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
 /// Why no response to a request was received.
@@ -103,8 +104,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no response was received. The [`SendError`] states whether the node may have started
-    /// the request.
+    /// Returns an error if no response was received. The [`SendError`] states whether the node may have
+    /// started the request.
     pub async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/src/transport/node_connection/write_progress/mod.rs
+++ b/src/transport/node_connection/write_progress/mod.rs
@@ -13,8 +13,8 @@
 pub(super) struct WriteProgress {
     /// Length of the request body, in bytes.
     body_len: Cell<usize>,
-    /// Number of leading bytes of `\r\n\r\n` that the most recently written bytes match. [`HEAD_END_LEN`] once
-    /// the head has been written.
+    /// Number of leading bytes of `\r\n\r\n` that the most recently written bytes match. [`HEAD_END_LEN`]
+    /// once the head has been written.
     head_end_matched: Cell<usize>,
     /// Number of body bytes written so far.
     body_written: Cell<usize>,
--- a/src/transport/request_framing/mod.rs
+++ b/src/transport/request_framing/mod.rs
@@ -1,8 +1,8 @@
 //! Detects requests with both `Content-Length` and `Transfer-Encoding`.
 //!
-//! An intermediary may find the end of the body by the other of the two headers than this server does, so that
-//! the body can hide another request (request smuggling). hyper removes `Content-Length` from a chunked
-//! request, so the conflict can only be detected in the bytes of the request.
+//! If a request has both headers, an intermediary and hyper may use different ones to find the end of its
+//! body, so that the body can hide another request (request smuggling). hyper removes `Content-Length` from a
+//! chunked request, so the conflict can only be detected in the bytes of the request.
 
 /// Maximum number of bytes stored per line: enough for the header names and numbers that are parsed here.
 const MAX_STORED_LINE_LEN: usize = 64;
