--- a/src/bin/scheduler-simulator-adapter/ids.rs
+++ b/src/bin/scheduler-simulator-adapter/ids.rs
@@ -1,11 +1,11 @@
-//! The simulator's numbers for what its messages are about.
+//! Identifiers that the simulator assigns and that its messages refer to.
 
 use serde::{Deserialize, Serialize};
 
-/// The simulator's number for a scheduler.
+/// Identifies one scheduler instance (`who` on the wire).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct InstanceId(u64);
 
-/// The simulator's number for an endpoint list.
+/// Identifies an endpoint list (`table` on the wire).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub struct ListId(u64);
--- a/src/bin/scheduler-simulator-adapter/main.rs
+++ b/src/bin/scheduler-simulator-adapter/main.rs
@@ -1,7 +1,7 @@
-//! Adapts the scheduler to the simulator's wire: JSON lines on standard input and output.
+//! Connects the scheduler to the simulator through JSON lines on standard input and output.
 //!
-//! The simulator sends a batch of messages, one JSON object a line, and waits for the actions that the batch
-//! led to. The adapter maps names and units between the two sides and decides nothing.
+//! The simulator sends a batch of messages, one JSON object per line, and waits for the resulting actions.
+//! The adapter only translates names and units between the two sides; all decisions are the scheduler's.
 
 mod ids;
 mod messages;
@@ -14,7 +14,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Why the adapter stops before the end of its input.
+/// Errors that stop the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error("standard input: {0}")]
@@ -35,7 +35,7 @@
     }
 }
 
-/// Handles the messages of `input` up to its end and writes a reply to `output` after each batch.
+/// Handles messages from `input` until end of file and writes a reply to `output` after each batch.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     for line in input.lines() {
--- a/src/bin/scheduler-simulator-adapter/messages.rs
+++ b/src/bin/scheduler-simulator-adapter/messages.rs
@@ -1,111 +1,111 @@
-//! The simulator's messages, decoded from lines. Messages that are unknown here are ignored.
+//! Decoding of the simulator's messages, one per line. Unknown messages are ignored.
 
 use crate::ids::{InstanceId, ListId};
 use crate::wire::{
-    NotHex, WireAttemptEnd, WireClock, WireEndpoint, WireEndpointUpdate, WireGossip, WireHealthCheck,
-    WireInstance, WireList, WireRequest, WireRequestRef, WireStart, WireTimer,
+    InvalidHexNumber, WireAttemptEnd, WireClock, WireEndpoint, WireEndpointUpdate, WireGossip,
+    WireHealthCheck, WireInstance, WireList, WireRequest, WireRequestRef, WireStart, WireTimer,
 };
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 use storage_gateway::scheduler::{Endpoint, Event, RequestId, SchedulerSettings};
 
-/// Why a line cannot be decoded.
+/// Errors in decoding a line.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The line is not a JSON object.
+    /// The line is not a valid JSON object.
     #[error("malformed line: {0}")]
     Malformed(serde_json::Error),
-    /// The line is an empty object.
-    #[error("malformed line: an object without a name")]
+    /// The line is an empty JSON object.
+    #[error("malformed line: the object contains no message")]
     Unnamed,
-    /// The body does not fit the message's name.
-    #[error("event '{name}': {cause}")]
+    /// The body does not have the structure that the message's name requires.
+    #[error("message '{name}': {cause}")]
     Body {
         /// The message's name.
         name: String,
-        /// What does not fit.
+        /// The error from decoding the body, such as a missing field.
         cause: serde_json::Error,
     },
-    /// A volume or block is not given as a hexadecimal number.
+    /// The volume or block of a request is not a hexadecimal number of at most 64 bits.
     #[error(transparent)]
-    NotHex(#[from] NotHex),
+    InvalidHexNumber(#[from] InvalidHexNumber),
 }
 
-/// A message of the simulator.
+/// A decoded message from the simulator.
 #[derive(Debug)]
 pub enum Message {
     /// Sets the time at which the batch is handled.
     SetClock {
-        /// Microseconds on the simulator's clock.
+        /// The simulated time in microseconds.
         now_us: u64,
     },
-    /// Defines an endpoint list for later messages to refer to.
+    /// Defines an endpoint list that later messages refer to; replaces a list with the same id.
     DefineList {
-        /// The list's number.
+        /// The id of the list.
         list: ListId,
-        /// What it contains.
+        /// All endpoints in the list.
         endpoints: Vec<Endpoint>,
     },
-    /// Starts a scheduler, in place of one with the same number if there is one.
+    /// Starts a scheduler; replaces an instance with the same id and drops the events queued for it.
     StartInstance {
-        /// The scheduler.
+        /// The id of the new scheduler.
         instance: InstanceId,
-        /// The seed of its random numbers.
+        /// The seed of the scheduler's random number generator.
         seed: u64,
-        /// Its settings.
+        /// The scheduler's settings.
         settings: Box<SchedulerSettings>,
     },
-    /// Stops a scheduler and drops its events of this batch.
+    /// Stops a scheduler and drops the events that the current batch contains for it.
     StopInstance {
-        /// The scheduler.
+        /// The scheduler to stop.
         instance: InstanceId,
     },
-    /// Sends a scheduler an endpoint list that was defined before.
+    /// Sends a scheduler an update from a previously defined endpoint list.
     UpdateEndpoints {
-        /// The scheduler.
+        /// The scheduler that receives the update.
         instance: InstanceId,
-        /// What the list is.
-        form: UpdateForm,
-        /// The list; it is not looked up where the poll failed.
+        /// How the scheduler is to apply the list.
+        kind: EndpointUpdateKind,
+        /// The id of the list; ignored for [`EndpointUpdateKind::PollFailed`].
         list: ListId,
     },
-    /// Adds an event to a scheduler's batch.
+    /// Adds an event to the current batch.
     Deliver {
-        /// The scheduler.
+        /// The scheduler that receives the event.
         instance: InstanceId,
-        /// The event.
+        /// The event, in the scheduler's own type.
         event: Event,
     },
-    /// Ends the batch; the simulator now waits for the reply.
+    /// Ends the batch; the simulator then waits for the reply.
     EndBatch,
 }
 
-/// The variants of an endpoint update, without the endpoints.
+/// The variants of `EndpointUpdate`, without the endpoints.
 #[derive(Clone, Copy, Debug)]
-pub enum UpdateForm {
-    /// Only the endpoints that changed.
+pub enum EndpointUpdateKind {
+    /// The list contains only the endpoints that changed.
     Delta,
-    /// All endpoints.
+    /// The list contains all endpoints.
     Snapshot,
-    /// All endpoints, as last known before a restart.
+    /// The list contains all endpoints, as last known before a restart.
     Cached,
-    /// Nothing: the call failed.
+    /// The poll failed and returned no list.
     PollFailed,
 }
 
-/// A message whose name is known and whose body is not decoded yet.
+/// A message whose body has not been decoded yet.
 struct RawMessage<'a> {
     name: String,
     body: &'a RawValue,
 }
 
 impl Message {
-    /// Decodes a line; none if the message is unknown, and so ignored.
+    /// Decodes a line; returns `None` if the message's name, or the form of an endpoint update, is unknown.
     ///
     /// # Errors
     ///
-    /// Returns an error if the line or the body of a known message is malformed.
+    /// Returns an error if the line, or the body of a known message, is malformed.
     pub fn decode(line: &str) -> Result<Option<Message>, MessageError> {
         let raw = RawMessage::decode(line)?;
         let event = match raw.name.as_str() {
@@ -166,13 +166,13 @@
 
     fn update_endpoints(&self) -> Result<Option<Message>, MessageError> {
         let WireEndpointUpdate { form, list } = self.body()?;
-        let form = match form.as_str() {
-            "delta" => UpdateForm::Delta,
-            "full" => UpdateForm::Snapshot,
-            "cached" => UpdateForm::Cached,
-            "failed" => UpdateForm::PollFailed,
+        let kind = match form.as_str() {
+            "delta" => EndpointUpdateKind::Delta,
+            "full" => EndpointUpdateKind::Snapshot,
+            "cached" => EndpointUpdateKind::Cached,
+            "failed" => EndpointUpdateKind::PollFailed,
             _ => return Ok(None),
         };
-        Ok(Some(Message::UpdateEndpoints { instance: self.instance()?, form, list }))
+        Ok(Some(Message::UpdateEndpoints { instance: self.instance()?, kind, list }))
     }
 }
--- a/src/bin/scheduler-simulator-adapter/replies.rs
+++ b/src/bin/scheduler-simulator-adapter/replies.rs
@@ -1,7 +1,6 @@
-//! The replies on the simulator's wire: the scheduler's actions, a line each, and the end of the batch.
+//! Replies to the simulator: one line per scheduler action, followed by a line that ends the reply.
 //!
-//! Fields are declared in the alphabetical order of their names on the wire, which is the order in which they
-//! are written.
+//! Fields are declared, and therefore serialized, in the alphabetical order of their names on the wire.
 
 use crate::ids::InstanceId;
 use serde::Serialize;
@@ -11,97 +10,97 @@
 /// One line of a reply.
 #[derive(Serialize)]
 pub enum Reply<'a> {
-    /// Send an attempt.
+    /// Sends an attempt at a request to a storage node.
     #[serde(rename = "forward")]
     SendAttempt {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ref")]
         request: u32,
-        /// The node.
+        /// The name of the storage node.
         #[serde(rename = "server")]
         node: &'a str,
-        /// When the attempt times out, in microseconds from now; 0 if it may last until the client gives up.
+        /// Time until the attempt times out, in microseconds; 0 if only the request's expiry limits it.
         #[serde(rename = "timeoutUs")]
         timeout_us: u64,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt in flight.
     #[serde(rename = "callOff")]
     CancelAttempt {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ref")]
         request: u32,
-        /// The attempt's number among those of the request, from 0.
+        /// The attempt's index among the request's attempts, from 0.
         #[serde(rename = "shot")]
         attempt: u32,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Reject a request.
+    /// Rejects a request: it had no effect, or repeating it is harmless.
     #[serde(rename = "refuse")]
     Reject {
-        /// When the client should come back, in microseconds from now; 0 if there is no advice.
+        /// Delay after which the client should retry, in microseconds; 0 if the reply suggests none.
         #[serde(rename = "comeBackUs")]
         retry_after_us: u64,
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ref")]
         request: u32,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Fail a request.
+    /// Fails a request that may have run.
     #[serde(rename = "finishError")]
     Fail {
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "ref")]
         request: u32,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Set a timer.
+    /// Sets a timer; the simulator reports its expiry with `tickDue`.
     #[serde(rename = "wakeMe")]
     SetTimer {
-        /// When it is due, in microseconds from now.
+        /// Time until the timer fires, in microseconds.
         #[serde(rename = "afterUs")]
         after_us: u64,
-        /// Comes back with the timer.
+        /// Returned in the `tickDue` message of this timer.
         #[serde(rename = "ctx")]
         token: u64,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// Watch the endpoint list from now on.
+    /// Starts a watch of the endpoint list.
     #[serde(rename = "observe")]
     WatchEndpoints {
-        /// Always true.
+        /// Always `true`; the scheduler has no action that ends a watch.
         active: bool,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
-    /// A scheduler panicked; its actions of this batch are lost.
+    /// Reports that a scheduler panicked; its actions from this batch are discarded.
     #[serde(rename = "bailOut")]
     Panicked {
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
-        /// The panic's message.
+        /// The panic message; `panic` if the payload is not a string.
         #[serde(rename = "words")]
         message: &'a str,
     },
-    /// The reply is complete.
+    /// Ends the reply to a batch.
     #[serde(rename = "eor")]
     Complete {},
 }
 
 impl<'a> Reply<'a> {
-    /// The reply that carries an action of a scheduler.
+    /// Converts a scheduler's action; a missing timeout or retry delay becomes 0.
     pub fn from_action(instance: InstanceId, action: &'a Action) -> Reply<'a> {
         match action {
             Action::SendAttempt { request, node, timeout_us } => {
@@ -121,11 +120,11 @@
         }
     }
 
-    /// Writes the reply as a line.
+    /// Writes the reply as one JSON line.
     ///
     /// # Errors
     ///
-    /// Returns an error if `output` cannot be written.
+    /// Returns an error if writing to `output` fails.
     pub fn write_to(&self, output: &mut impl Write) -> io::Result<()> {
         serde_json::to_writer(&mut *output, self)?;
         output.write_all(b"\n")
--- a/src/bin/scheduler-simulator-adapter/session.rs
+++ b/src/bin/scheduler-simulator-adapter/session.rs
@@ -1,7 +1,7 @@
-//! The schedulers that the simulator has started, and the batch of events that each is to handle next.
+//! The running scheduler instances, and the events collected for the current batch.
 
 use crate::ids::{InstanceId, ListId};
-use crate::messages::{Message, UpdateForm};
+use crate::messages::{EndpointUpdateKind, Message};
 use crate::replies::Reply;
 use indexmap::IndexMap;
 use std::any::Any;
@@ -10,34 +10,35 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use storage_gateway::scheduler::{Action, Endpoint, EndpointUpdate, Event, Scheduler};
 
-/// Why a message that is well-formed cannot be handled, or its reply not be written.
+/// Errors in handling a well-formed message or writing the reply.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
-    /// The message refers to an endpoint list that was never sent.
-    #[error("event 'members': no such list")]
+    /// The message refers to an endpoint list that was never defined.
+    #[error("message 'members': no such list")]
     UnknownList,
-    /// The reply cannot be written.
+    /// The reply could not be written.
     #[error("standard output: {0}")]
     Output(#[from] io::Error),
 }
 
-/// The state of the conversation with the simulator.
+/// The state of one simulator run, from the first message to the end of input.
 #[derive(Default)]
 pub struct Session {
     now_us: u64,
     endpoint_lists: BTreeMap<ListId, Vec<Endpoint>>,
     instances: BTreeMap<InstanceId, Scheduler>,
-    /// The events of the batch so far by instance, in the order in which the batch first names the instances.
+    /// The events of the current batch by instance, in the order in which the batch first mentions the
+    /// instances. The reply lists the instances in the same order.
     batch: IndexMap<InstanceId, Vec<Event>>,
 }
 
 impl Session {
-    /// Handles a message, and writes the reply to `output` where the message ends a batch. An event for an
-    /// instance that does not run is dropped.
+    /// Handles a message, and writes the reply to `output` if the message ends a batch. Drops events for
+    /// instances that are not running.
     ///
     /// # Errors
     ///
-    /// Returns an error if the message refers to an unknown endpoint list, or `output` cannot be written.
+    /// Returns an error if the message refers to an unknown endpoint list, or if writing to `output` fails.
     pub fn handle(&mut self, message: Message, output: &mut impl Write) -> Result<(), SessionError> {
         match message {
             Message::SetClock { now_us } => self.now_us = now_us,
@@ -52,23 +53,27 @@
                 self.instances.remove(&instance);
                 self.batch.shift_remove(&instance);
             }
-            Message::UpdateEndpoints { instance, form, list } => {
-                let update = self.endpoint_update(form, list)?;
+            Message::UpdateEndpoints { instance, kind, list } => {
+                let update = self.endpoint_update(kind, list)?;
                 self.enqueue(instance, Event::EndpointsUpdated(update));
             }
             Message::Deliver { instance, event } => self.enqueue(instance, event),
-            Message::EndBatch => self.reply(output)?,
+            Message::EndBatch => self.run_batch(output)?,
         }
         Ok(())
     }
 
-    fn endpoint_update(&self, form: UpdateForm, list: ListId) -> Result<EndpointUpdate, SessionError> {
+    fn endpoint_update(
+        &self,
+        kind: EndpointUpdateKind,
+        list: ListId,
+    ) -> Result<EndpointUpdate, SessionError> {
         let endpoints = || self.endpoint_lists.get(&list).cloned().ok_or(SessionError::UnknownList);
-        Ok(match form {
-            UpdateForm::Delta => EndpointUpdate::Delta(endpoints()?),
-            UpdateForm::Snapshot => EndpointUpdate::Snapshot(endpoints()?),
-            UpdateForm::Cached => EndpointUpdate::Cached(endpoints()?),
-            UpdateForm::PollFailed => EndpointUpdate::PollFailed,
+        Ok(match kind {
+            EndpointUpdateKind::Delta => EndpointUpdate::Delta(endpoints()?),
+            EndpointUpdateKind::Snapshot => EndpointUpdate::Snapshot(endpoints()?),
+            EndpointUpdateKind::Cached => EndpointUpdate::Cached(endpoints()?),
+            EndpointUpdateKind::PollFailed => EndpointUpdate::PollFailed,
         })
     }
 
@@ -78,8 +83,8 @@
         }
     }
 
-    /// Has each instance handle its events and writes the actions that they lead to.
-    fn reply(&mut self, output: &mut impl Write) -> io::Result<()> {
+    /// Runs each scheduler on its events of the batch and writes the resulting actions.
+    fn run_batch(&mut self, output: &mut impl Write) -> io::Result<()> {
         let mut actions = Vec::new();
         for (instance, events) in self.batch.drain(..) {
             let Some(scheduler) = self.instances.get_mut(&instance) else { continue };
@@ -98,8 +103,8 @@
     }
 }
 
-/// Has a scheduler handle its events. A panic is returned as its message, so that the simulator learns which
-/// instance failed while the others go on.
+/// Runs a scheduler on its events. Returns the message of a panic as the error, so that the failure is
+/// reported for this instance and the other instances continue.
 fn handle_events(
     scheduler: &mut Scheduler,
     now_us: u64,
--- a/src/bin/scheduler-simulator-adapter/wire.rs
+++ b/src/bin/scheduler-simulator-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The bodies of the simulator's messages, and their conversion to the scheduler's types.
 //!
-//! Fields carry the scheduler's names; the names on the wire stand in the serde attributes. Fields that are
-//! unknown here are ignored.
+//! Fields are named after the scheduler's fields; serde attributes give the names on the wire. Unknown fields
+//! are ignored.
 
 use crate::ids::{InstanceId, ListId};
 use serde::Deserialize;
@@ -13,39 +13,39 @@
     LoadReport, PlanIndex, RequestId, ShardId, VolumeId, ZoneId,
 };
 
-/// The time of a batch.
+/// The body of `sync`: the time at which the batch is handled.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WireClock {
-    /// Microseconds on the simulator's clock.
+    /// The simulated time in microseconds.
     pub time_us: u64,
 }
 
-/// The scheduler that a message is for; part of most bodies.
+/// The part of a body that identifies the scheduler instance; most bodies contain it.
 #[derive(Deserialize)]
 pub struct WireInstance {
-    /// The scheduler.
+    /// The scheduler instance that the message is addressed to.
     #[serde(rename = "who")]
     pub instance: InstanceId,
 }
 
-/// The start of a scheduler.
+/// The body of `enlist`: the start of a scheduler instance.
 #[derive(Deserialize)]
 pub struct WireStart {
-    /// The seed of its random numbers.
+    /// The seed of the scheduler's random number generator.
     pub seed: u64,
-    /// Its settings.
+    /// The scheduler's settings; missing fields take their defaults.
     #[serde(rename = "options")]
     pub settings: PlatformSettings,
 }
 
-/// An endpoint list.
+/// The body of `list`: the definition of an endpoint list.
 #[derive(Deserialize)]
 pub struct WireList {
-    /// The number of the list.
+    /// The id by which later messages refer to the list.
     #[serde(rename = "table")]
     pub list: ListId,
-    /// What it contains.
+    /// All endpoints in the list.
     #[serde(rename = "items")]
     pub endpoints: Vec<WireEndpoint>,
 }
@@ -61,12 +61,13 @@
     shard: u32,
     #[serde(rename = "readiness")]
     state: String,
+    /// When the node's process last started, in simulated microseconds; 0 if that was long ago.
     #[serde(default, rename = "bornUs")]
     started_at_us: u64,
 }
 
 impl WireEndpoint {
-    /// The endpoint as the scheduler knows it.
+    /// Converts the entry for the scheduler. Any readiness other than `live` and `dead` counts as draining.
     pub fn to_endpoint(&self) -> Endpoint {
         let state = match self.state.as_str() {
             "live" => EndpointState::Ready,
@@ -83,17 +84,17 @@
     }
 }
 
-/// An update of the endpoints by a list that was sent before.
+/// The body of `members`: an update from a previously defined endpoint list.
 #[derive(Deserialize)]
 pub struct WireEndpointUpdate {
-    /// What the list is: `delta`, `full`, `cached` or `failed`.
+    /// The kind of update: `delta`, `full`, `cached` or `failed`.
     pub form: String,
-    /// The number of the list.
+    /// The id of the list; may be omitted if the form is `failed`.
     #[serde(default, rename = "table")]
     pub list: ListId,
 }
 
-/// A request that arrives.
+/// The body of `inbound`: a request that arrives at a gateway.
 #[derive(Deserialize)]
 pub struct WireRequest {
     #[serde(rename = "ref")]
@@ -117,15 +118,15 @@
 }
 
 impl WireRequest {
-    /// The request as the scheduler knows it.
+    /// Converts the request for the scheduler.
     ///
     /// # Errors
     ///
-    /// Returns an error if volume or block is not a hexadecimal number.
-    pub fn to_incoming_request(&self) -> Result<IncomingRequest, NotHex> {
+    /// Returns an error if the volume or block is not a hexadecimal number of at most 64 bits.
+    pub fn to_incoming_request(&self) -> Result<IncomingRequest, InvalidHexNumber> {
         let volume = self.volume.as_deref().map_or(Ok(0), parse_hex)?;
         let block = self.block.as_deref().map(parse_hex).transpose()?;
-        // A negative number stands for a new object, which no shard holds yet.
+        // A negative shard number denotes a new object, which is not stored in any shard yet.
         let shard = self.shard.filter(|shard| *shard >= 0.0);
         Ok(IncomingRequest {
             id: RequestId(self.request),
@@ -141,24 +142,24 @@
     }
 }
 
-/// A volume or block is not given as a hexadecimal number.
+/// The volume or block of a request is not a hexadecimal number of at most 64 bits.
 #[derive(Debug, thiserror::Error)]
-#[error("'{0}' is not a key of hex digits")]
-pub struct NotHex(String);
+#[error("'{0}' is not a hexadecimal number of at most 64 bits")]
+pub struct InvalidHexNumber(String);
 
-fn parse_hex(digits: &str) -> Result<u64, NotHex> {
-    u64::from_str_radix(digits, 16).map_err(|_| NotHex(digits.to_owned()))
+fn parse_hex(digits: &str) -> Result<u64, InvalidHexNumber> {
+    u64::from_str_radix(digits, 16).map_err(|_| InvalidHexNumber(digits.to_owned()))
 }
 
-/// The request that a message is about.
+/// The part of a body that identifies a request.
 #[derive(Deserialize)]
 pub struct WireRequestRef {
-    /// The request.
+    /// The request's number, unique among the requests in flight at one gateway.
     #[serde(rename = "ref")]
     pub request: u32,
 }
 
-/// The end of an attempt.
+/// The body of `reply`: the end of an attempt.
 #[derive(Deserialize)]
 pub struct WireAttemptEnd {
     #[serde(rename = "ref")]
@@ -169,7 +170,7 @@
     latency_us: u64,
     #[serde(default)]
     complete: bool,
-    /// One more than the volume's rate in percent; 0 where it is not reported.
+    /// The volume's metered rate in percent of its plan's provisioned rate, plus one; 0 if not reported.
     #[serde(default, rename = "used")]
     volume_rate_percent_plus_one: f64,
     #[serde(rename = "server")]
@@ -181,16 +182,16 @@
 }
 
 impl WireAttemptEnd {
-    /// The report for the scheduler.
+    /// Converts the result for the scheduler.
     pub fn to_report(&self) -> AttemptReport {
-        let metered = self.volume_rate_percent_plus_one > 0.0;
+        let is_metered = self.volume_rate_percent_plus_one > 0.0;
         AttemptReport {
             request: RequestId(self.request),
             outcome: parse_outcome(&self.status),
             latency_us: self.latency_us,
             complete: self.complete,
             node: self.node.as_str().into(),
-            volume_rate_percent: metered.then_some(self.volume_rate_percent_plus_one - 1.0),
+            volume_rate_percent: is_metered.then_some(self.volume_rate_percent_plus_one - 1.0),
             units_via_other_gateways: self.units_via_other_gateways,
             load: self.load.to_report(),
         }
@@ -210,7 +211,7 @@
     }
 }
 
-/// A node's load report; values that are not numbers are ignored.
+/// A storage node's load report. Unknown fields and values that are not numbers are ignored.
 #[derive(Default, Deserialize)]
 #[serde(transparent)]
 struct WireLoad(BTreeMap<String, Value>);
@@ -227,15 +228,15 @@
     }
 }
 
-/// A timer that is due.
+/// The body of `tickDue`: the expiry of a timer.
 #[derive(Deserialize)]
 pub struct WireTimer {
-    /// The token that the timer was set with.
+    /// The token of the `wakeMe` reply that set the timer.
     #[serde(rename = "ctx")]
     pub token: u64,
 }
 
-/// The end of a health check.
+/// The body of `health`: the end of a health check.
 #[derive(Deserialize)]
 pub struct WireHealthCheck {
     #[serde(rename = "server")]
@@ -247,7 +248,7 @@
 }
 
 impl WireHealthCheck {
-    /// The event for the scheduler.
+    /// Converts the message to a scheduler event.
     pub fn to_event(&self) -> Event {
         Event::HealthCheckCompleted {
             node: self.node.as_str().into(),
@@ -257,7 +258,7 @@
     }
 }
 
-/// A message of another gateway.
+/// The body of `inbox`: a message from another gateway.
 #[derive(Deserialize)]
 pub struct WireGossip {
     #[serde(rename = "src")]
@@ -267,7 +268,7 @@
 }
 
 impl WireGossip {
-    /// The event for the scheduler.
+    /// Converts the message to a scheduler event.
     pub fn into_event(self) -> Event {
         Event::GossipReceived { gateway: self.gateway, message: self.message }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,23 +1,23 @@
-//! A storage gateway: it forwards requests for volumes to storage nodes, and keeps the volumes to their
-//! reservations, shares and limits meanwhile.
+//! A storage gateway: it forwards requests for volumes to storage nodes and schedules them so that each volume
+//! stays within its reservation, fair share and rate limit.
 //!
-//! Every decision is made by a [`scheduler::Scheduler`], one in each gateway. It is pure: it takes batches of
-//! [`scheduler::Event`]s and returns [`scheduler::Action`]s, and knows neither sockets nor clocks. The
-//! program `scheduler-simulator-adapter` runs the same scheduler in a simulator.
+//! Each gateway has one [`scheduler::Scheduler`], which makes all scheduling decisions. The scheduler is pure:
+//! it takes batches of [`scheduler::Event`]s, returns [`scheduler::Action`]s, and uses neither sockets nor
+//! clocks. The program `scheduler-simulator-adapter` runs the same scheduler in a simulator.
 //!
-//! A module uses only modules that stand below it here; [`protocol`] and [`transport`] are independent of
-//! each other, and [`routing`] uses neither:
+//! A module depends only on modules listed below it in this table. [`protocol`] and [`transport`] are
+//! independent of each other, and [`routing`] depends on neither:
 //!
 //! | module | subject |
 //! | --- | --- |
-//! | [`gateway`] | the program: configuration, signals, front ends, and the wiring of the actors |
-//! | [`routing`] | requests in flight: the scheduler's actor, attempts, one final answer each |
-//! | [`protocol`] | messages: decoded once into typed values, encoded once; no sockets |
-//! | [`transport`] | sockets: servers, connections and pools; nothing of what they carry |
-//! | [`scheduler`] | decisions: admission, dispatch, retries, health of nodes, rate limits |
+//! | [`gateway`] | the program: configuration, signals, front ends, and startup of the actors |
+//! | [`routing`] | requests in flight: the router actor, attempts, and one final answer per request |
+//! | [`protocol`] | messages: decoded once into typed values and encoded once; no socket I/O |
+//! | [`transport`] | sockets: servers, connections and connection pools; independent of message contents |
+//! | [`scheduler`] | decisions: admission, dispatch, retries, node health, rate limits |
 //!
-//! All of a gateway runs on one thread. State has one owner each: an actor, which is a task with a channel of
-//! commands, or a structure that front ends share by reference counting.
+//! A gateway runs on one thread. Each piece of state has one owner: either an actor (a task that receives
+//! commands through a channel) or a reference-counted structure that front ends share.
 
 pub mod gateway;
 pub mod protocol;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,15 +1,15 @@
-//! The command line of the gateway: arguments, usage and exit codes.
+//! The gateway's command-line interface: arguments, usage text and exit codes.
 
 use std::path::Path;
 use std::process::ExitCode;
 use storage_gateway::gateway::{self, GatewayError, log};
 
 const USAGE: &str =
-    "usage: storage-gateway                 the platform's protocol, set up by the file that GW_CONFIG names
-       storage-gateway --config FILE   the object API and the administration, set up by an operator's file";
+    "usage: storage-gateway                 serve the platform's protocol; GW_CONFIG names the configuration file
+       storage-gateway --config FILE   serve the object API and the administration API, as FILE configures them";
 
-/// The exit code after wrong arguments or an invalid configuration: starting again cannot help. Other
-/// failures end with [`ExitCode::FAILURE`].
+/// Exit code for invalid arguments or an invalid configuration, which a restart cannot fix. All other failures
+/// exit with [`ExitCode::FAILURE`].
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Logs what the gateway failed of, if it did.
+/// Returns the exit code for the gateway's result, and logs the error if there is one.
 fn exit_code(result: Result<(), GatewayError>) -> ExitCode {
     let Err(error) = result else { return ExitCode::SUCCESS };
     log::write(&error);
