--- a/src/main.rs
+++ b/src/main.rs
@@ -5,11 +5,11 @@
 use storage_gateway::gateway::{self, GatewayError, log};
 
 const USAGE: &str =
-    "usage: storage-gateway                 serve the platform's protocol; GW_CONFIG names the configuration file
-       storage-gateway --config FILE   serve the object API and the administration API, as FILE configures them";
+    "usage: storage-gateway                 serve the platform's protocol, configured by the file in GW_CONFIG
+       storage-gateway --config FILE   serve the object API and the administration API, configured by FILE";
 
-/// Exit code for invalid arguments or an invalid configuration, which a restart cannot fix. All other failures
-/// exit with [`ExitCode::FAILURE`].
+/// Exit code for invalid arguments or an invalid configuration, which a restart cannot fix. All other
+/// failures exit with [`ExitCode::FAILURE`].
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt at a request: what the transport is given, and what it reports back.
+//! The interface to the transport: the attempts that it is given and the results that it reports.
 
 use crate::scheduler::{AttemptOutcome, LoadReport, NodeId, RequestId};
 use std::cell::Cell;
@@ -6,38 +6,39 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Carries attempts to the storage nodes and watches their endpoint list.
+/// Sends attempts to the storage nodes and watches the endpoint list.
 pub trait AttemptTransport<P> {
-    /// Starts an attempt; its end comes back through
+    /// Starts an attempt. Its end must be reported through
     /// [`RouterHandle::attempt_ended`](super::RouterHandle::attempt_ended).
     fn start(&mut self, attempt: Attempt<P>);
-    /// Watches the endpoint list from now on.
+    /// Starts a watch of the endpoint list. Updates and failed polls are reported through
+    /// [`RouterHandle::endpoints_updated`](super::RouterHandle::endpoints_updated).
     fn watch_endpoints(&mut self);
 }
 
-/// One attempt at a request, on its way to a storage node.
+/// One attempt at a request, to be sent to a storage node.
 #[derive(Debug)]
 pub struct Attempt<P> {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The attempt's number among those of the request, from 0.
+    /// The attempt's index among the request's attempts, from 0.
     pub number: u32,
-    /// The storage node.
+    /// The storage node that the attempt is sent to.
     pub node: NodeId,
-    /// What the front end submitted with the request.
+    /// The payload that the front end submitted with the request; shared by all attempts at it.
     pub payload: Rc<P>,
-    /// When the attempt has timed out.
+    /// When the attempt times out; at the latest when the request expires.
     pub deadline: Instant,
-    /// Resolves once the attempt is cancelled.
+    /// Resolves when the attempt is cancelled, always with an error, because the sender is dropped.
     pub cancelled: oneshot::Receiver<()>,
-    /// Whether the attempt may still begin.
+    /// Whether the attempt may still start.
     pub interest: ClientInterest,
 }
 
-/// Whether a request still lacks its final answer and its client still waits for it.
+/// Whether a request still needs an answer: it has no final answer yet, and its client is still connected.
 ///
-/// An attempt asks this when its connection is established: that may have taken long, and an attempt must not
-/// begin for a client that has left.
+/// The transport checks this once the connection for an attempt is established. Connecting may have taken
+/// long, and an attempt must not start if the client has disconnected meanwhile.
 #[derive(Clone, Debug)]
 pub struct ClientInterest(Rc<Cell<bool>>);
 
@@ -46,33 +47,35 @@
         ClientInterest(Rc::new(Cell::new(true)))
     }
 
-    pub(super) fn end(&self) {
+    pub(super) fn revoke(&self) {
         self.0.set(false);
     }
 
-    /// Whether an attempt may still begin.
+    /// Returns whether an attempt may still start.
     pub fn remains(&self) -> bool {
         self.0.get()
     }
 }
 
-/// How an attempt ended, as its transport saw it.
+/// The result of an attempt, as reported by the transport.
 #[derive(Debug)]
 pub struct AttemptResult<R> {
-    /// The outcome.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The storage node's response, if the attempt was served and its response has not started before.
+    /// The storage node's complete response; `None` if there is none or it has already been reported as
+    /// started. Used only if `outcome` is [`AttemptOutcome::Succeeded`].
     pub response: Option<R>,
-    /// The volume's metered rate in percent of its plan's provisioned rate, where reported.
+    /// The volume's metered rate in percent of its plan's provisioned rate; `None` if not reported.
     pub volume_rate_percent: Option<f64>,
-    /// Units that the node served the volume through other gateways; 0 where not reported.
+    /// Units that the node served the volume through other gateways since its previous response; 0 if not
+    /// reported.
     pub units_via_other_gateways: f64,
-    /// The node's load report.
+    /// The node's load report; each value is `None` if the node did not report it.
     pub load: LoadReport,
 }
 
 impl<R> AttemptResult<R> {
-    /// The result of an attempt that brought no response.
+    /// Returns the result of an attempt that received no response; nothing counts as reported.
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         AttemptResult {
             outcome,
--- a/src/routing/clock.rs
+++ b/src/routing/clock.rs
@@ -1,15 +1,15 @@
-//! The clock that the scheduler's times are read off.
+//! The clock from which the scheduler's times are taken.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The longest time ahead that a timer is set for, in microseconds: one day, so that no time taken in can
-/// overflow an [`Instant`].
-const LONGEST_TIMER_US: u64 = 86_400_000_000;
+/// Maximum time from now for which a timer is set, in microseconds: one day. Without a limit, a time received
+/// from outside the gateway could overflow an [`Instant`].
+const MAX_TIMER_DELAY_US: u64 = 86_400_000_000;
 
-/// The scheduler's clock. It reads Unix time at the start and then runs monotonically, so that the starts of
-/// storage nodes, which are given in Unix time, compare with it while no step of the wall clock can move a
-/// deadline.
+/// The scheduler's clock. It reads Unix time once, at its start, and then advances monotonically. Its times
+/// are comparable with the start times of storage nodes, which are given in Unix time, and steps of the
+/// system clock cannot move a deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -17,21 +17,22 @@
 }
 
 impl Clock {
-    /// A clock that shows the present time.
+    /// Returns a clock that starts at the current Unix time, or at 0 if the system clock is before the epoch.
     pub fn start() -> Self {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { origin: Instant::now(), origin_unix_us: unix_time.as_micros() as u64 }
     }
 
-    /// The time in microseconds.
+    /// Returns the current time in microseconds since the Unix epoch.
     pub fn now_us(&self) -> u64 {
         self.origin_unix_us + self.origin.elapsed().as_micros() as u64
     }
 
-    /// The instant at which the clock shows this time; for times before the clock's start, its start.
+    /// Returns the instant at which the clock reaches `time_us`. A time before the clock's start yields its
+    /// start; a time more than one day ahead yields the instant one day from now.
     pub fn instant_at(&self, time_us: u64) -> Instant {
-        let latest_us = self.now_us() - self.origin_unix_us + LONGEST_TIMER_US;
-        let ahead_us = time_us.saturating_sub(self.origin_unix_us).min(latest_us);
-        self.origin + Duration::from_micros(ahead_us)
+        let max_offset_us = self.now_us() - self.origin_unix_us + MAX_TIMER_DELAY_US;
+        let offset_us = time_us.saturating_sub(self.origin_unix_us).min(max_offset_us);
+        self.origin + Duration::from_micros(offset_us)
     }
 }
--- a/src/routing/handle.rs
+++ b/src/routing/handle.rs
@@ -1,4 +1,4 @@
-//! The handle to the router's actor.
+//! The handle through which other tasks send commands to the router.
 
 use super::pending::PendingResponse;
 use super::router::Command;
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Sends commands to a [`RequestRouter`](super::RequestRouter). `P` is what a front end submits with a
-/// request, `R` a storage node's response to it.
+/// Sends commands to a [`RequestRouter`](super::RequestRouter). `P` is the payload that a front end submits
+/// with a request; `R` is a storage node's response.
 pub struct RouterHandle<P, R> {
     commands: mpsc::UnboundedSender<Command<P, R>>,
     next_request: Rc<Cell<u32>>,
@@ -26,8 +26,8 @@
         RouterHandle { commands, next_request: Rc::default() }
     }
 
-    /// Submits a request, whose number is one of [`next_request_id`](Self::next_request_id). It is answered by
-    /// `request.expires_at_us`, plus the grace that the settings give.
+    /// Submits a request, whose id must come from [`next_request_id`](Self::next_request_id). The request is
+    /// answered no later than `request.expires_at_us` plus the settings' `answer_grace_us`.
     pub fn submit(&self, request: IncomingRequest, payload: P) -> PendingResponse<P, R> {
         let id = request.id;
         let (responder, answer) = oneshot::channel::<FinalAnswer<R>>();
@@ -35,36 +35,37 @@
         PendingResponse::new(id, answer, self.clone())
     }
 
-    /// The number for a request that is about to be submitted; no two requests in flight have the same.
+    /// Returns the id for a request that is about to be submitted. Ids wrap around after 2^32 requests, so
+    /// they are unique only among the requests in flight.
     pub fn next_request_id(&self) -> RequestId {
         let number = self.next_request.get();
         self.next_request.set(number.wrapping_add(1));
         RequestId(number)
     }
 
-    /// An attempt's response has started and now belongs to the client; the attempt's end is still to be
-    /// reported.
+    /// Reports that a storage node's response to an attempt has started. The response becomes the request's
+    /// final answer; the end of the attempt must still be reported.
     pub fn response_started(&self, request: RequestId, response: R) {
         self.send(Command::ResponseStarted { request, response });
     }
 
-    /// An attempt has ended.
+    /// Reports the end of an attempt. A report is ignored if the attempt with this number is not in flight.
     pub fn attempt_ended(&self, request: RequestId, attempt: u32, result: AttemptResult<R>) {
         self.send(Command::AttemptEnded { request, attempt, result });
     }
 
-    /// The endpoint list or a part of it has arrived, or a poll has failed.
+    /// Reports an update of the endpoint list, or a failed poll.
     pub fn endpoints_updated(&self, update: EndpointUpdate) {
         self.send(Command::EndpointsUpdated(update));
     }
 
-    /// The client of a request has disconnected.
+    /// Reports that the client of a request has disconnected.
     pub(super) fn client_disconnected(&self, request: RequestId) {
         self.send(Command::ClientDisconnected(request));
     }
 
-    /// The router outlives its handles; only at the very end of the program is there none to receive a
-    /// command.
+    /// Sends a command to the router. The error is ignored: sending fails only if the router has stopped,
+    /// which happens only when the program exits.
     fn send(&self, command: Command<P, R>) {
         let _ = self.commands.send(command);
     }
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -1,53 +1,54 @@
-//! Counters of the requests and attempts that a router has handled.
+//! Counters of the requests and attempts that a router handles.
 
 use super::FinalAnswer;
 use crate::scheduler::AttemptOutcome;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// A counter that only grows.
+/// A counter that starts at 0 and never decreases.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Adds 1 to the count.
     pub fn increment(&self) {
         self.add(1);
     }
 
-    /// Adds a number.
-    pub fn add(&self, number: u64) {
-        self.0.set(self.0.get() + number);
+    /// Adds `amount` to the count.
+    pub fn add(&self, amount: u64) {
+        self.0.set(self.0.get() + amount);
     }
 
-    /// The count so far.
+    /// Returns the current count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// What a router received, sent and answered.
+/// Counts of the requests that a router received and answered, and of their attempts.
 #[derive(Debug, Default)]
 pub struct RequestMetrics {
-    /// Requests received.
+    /// Requests submitted to the router.
     pub received: Counter,
-    /// Requests served.
+    /// Requests answered with a storage node's response.
     pub served: Counter,
-    /// Requests rejected.
+    /// Requests answered with [`FinalAnswer::Rejected`].
     pub rejected: Counter,
-    /// Requests failed.
+    /// Requests answered with [`FinalAnswer::Failed`].
     pub failed: Counter,
-    /// Requests whose clients disconnected before the answer.
+    /// Requests whose clients disconnected before the final answer.
     pub abandoned: Counter,
-    /// Attempts handed to the transport.
+    /// Attempts handed to the transport, including those that the transport then did not send.
     pub attempts_sent: Counter,
     attempts_succeeded: Counter,
     attempts_failed: Counter,
     attempts_rejected: Counter,
     attempts_timed_out: Counter,
-    attempts_not_connected: Counter,
+    attempts_connect_failed: Counter,
     attempts_reset: Counter,
     attempts_cancelled: Counter,
+    /// Attempts that the router did not hand to the transport, or that the transport did not send.
     attempts_not_sent: Counter,
 }
 
@@ -58,7 +59,7 @@
             AttemptOutcome::Failed => &self.attempts_failed,
             AttemptOutcome::Rejected => &self.attempts_rejected,
             AttemptOutcome::TimedOut => &self.attempts_timed_out,
-            AttemptOutcome::ConnectFailed => &self.attempts_not_connected,
+            AttemptOutcome::ConnectFailed => &self.attempts_connect_failed,
             AttemptOutcome::ConnectionReset => &self.attempts_reset,
             AttemptOutcome::Cancelled => &self.attempts_cancelled,
             AttemptOutcome::NotSent => &self.attempts_not_sent,
@@ -75,7 +76,7 @@
         counter.increment();
     }
 
-    /// The counters by the names that the administration API and the log give them.
+    /// Returns the counters by the names under which the administration API and the log report them.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
         BTreeMap::from([
             ("requests_taken", self.received.get()),
@@ -88,7 +89,7 @@
             ("attempts_error", self.attempts_failed.get()),
             ("attempts_full", self.attempts_rejected.get()),
             ("attempts_timed_out", self.attempts_timed_out.get()),
-            ("attempts_unreachable", self.attempts_not_connected.get()),
+            ("attempts_unreachable", self.attempts_connect_failed.get()),
             ("attempts_reset", self.attempts_reset.get()),
             ("attempts_cancelled", self.attempts_cancelled.get()),
             ("attempts_not_sent", self.attempts_not_sent.get()),
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,9 +1,9 @@
-//! Routing of requests: the requests in flight, their attempts, and exactly one final answer for each. It
-//! knows no wire format and no socket.
+//! Tracks the requests in flight and their attempts, and gives each request exactly one final answer. This
+//! module is independent of wire formats and sockets.
 //!
 //! A front end [`submit`](RouterHandle::submit)s a request and awaits its [`FinalAnswer`]. The
-//! [`RequestRouter`], an actor, feeds the scheduler and hands each [`Attempt`] that it decides on to an
-//! [`AttemptTransport`], which reports the [`AttemptResult`] back through
+//! [`RequestRouter`], an actor, passes events to the scheduler. It hands each [`Attempt`] that the scheduler
+//! requests to an [`AttemptTransport`], which reports the [`AttemptResult`] through
 //! [`attempt_ended`](RouterHandle::attempt_ended).
 
 mod attempt;
@@ -23,14 +23,14 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer<R> {
-    /// A storage node's response.
+    /// A storage node served the request with this response, whose body may still be streaming.
     Served(R),
-    /// Rejected: the request had no effect, or repeating it is harmless.
+    /// The request was rejected: it had no effect, or repeating it is harmless.
     Rejected {
-        /// When the client should retry (`Retry-After`), counted from now, in microseconds; none if there is
-        /// no advice.
+        /// Delay after which the client should retry, in microseconds; `None` if the response carries no
+        /// `Retry-After`.
         retry_after_us: Option<u64>,
     },
-    /// Failed: the request may have run.
+    /// The request failed and may have run.
     Failed,
 }
--- a/src/routing/pending.rs
+++ b/src/routing/pending.rs
@@ -1,4 +1,4 @@
-//! A submitted request that awaits its final answer.
+//! The future on which a front end awaits the final answer to a request.
 
 use super::{FinalAnswer, RouterHandle};
 use crate::scheduler::RequestId;
@@ -7,8 +7,8 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::oneshot;
 
-/// Resolves with the final answer to a request. Dropped before that, it notifies the router that the client
-/// has left.
+/// Resolves with the final answer to a request, or with [`FinalAnswer::Failed`] if the router has stopped. If
+/// dropped before it resolves, notifies the router that the client has disconnected.
 pub struct PendingResponse<P, R> {
     request: RequestId,
     answer: oneshot::Receiver<FinalAnswer<R>>,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router's actor: it owns the scheduler and every request in flight.
+//! The router: the actor that owns the scheduler and all requests in flight.
 
 use super::{
     Attempt, AttemptResult, AttemptTransport, ClientInterest, Clock, FinalAnswer, RequestMetrics,
@@ -14,10 +14,11 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands taken into one batch at most, so that a flood of them cannot keep the scheduler from deciding.
+/// Maximum number of commands in one batch. Without a limit, a flood of commands could keep the scheduler
+/// from running.
 const MAX_BATCH_LEN: usize = 512;
 
-/// A command from a handle to its router.
+/// A command sent by a [`RouterHandle`].
 pub(super) enum Command<P, R> {
     Submit { request: IncomingRequest, payload: P, responder: oneshot::Sender<FinalAnswer<R>> },
     ClientDisconnected(RequestId),
@@ -26,17 +27,18 @@
     EndpointsUpdated(EndpointUpdate),
 }
 
-/// A request that owes its final answer or has an attempt in flight.
+/// A request that has no final answer yet or has an attempt in flight.
 struct InFlightRequest<P, R> {
     payload: Rc<P>,
-    /// Takes the final answer; none once that is given.
+    /// Sends the final answer; `None` once the request has been answered or its client has disconnected.
     responder: Option<oneshot::Sender<FinalAnswer<R>>>,
     interest: ClientInterest,
     expires_at_us: u64,
-    /// Numbers the attempts, as the scheduler does. Only an attempt that could not be sent is not counted
-    /// here, and it is never followed by another.
+    /// The number of attempts handed to the transport, which is also the index of the next attempt. The
+    /// scheduler's attempt numbers agree with it: the scheduler also counts an attempt that was not handed
+    /// over, but such an attempt is always the last one for its request.
     attempts_started: u32,
-    /// The scheduler has at most one attempt of a request in flight.
+    /// The attempt in flight; the scheduler sends at most one at a time for each request.
     attempt: Option<InFlightAttempt>,
 }
 
@@ -44,19 +46,19 @@
     number: u32,
     node: NodeId,
     sent_at_us: u64,
-    /// Dropped, it cancels the attempt.
+    /// Dropping the sender cancels the attempt; `None` once it has been cancelled.
     cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A timer of the scheduler; they are ordered by when they are due.
+/// A timer set by the scheduler. Timers are ordered by expiry time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
-    due_at_us: u64,
+    fires_at_us: u64,
     token: u64,
 }
 
-/// The actor that owns the scheduler and every request in flight, and gives each request exactly one final
-/// answer. `P` is what a front end submits with a request, `R` a storage node's response to it.
+/// The actor that owns the scheduler and all requests in flight, and gives each request exactly one final
+/// answer. `P` is the payload that a front end submits with a request; `R` is a storage node's response.
 pub struct RequestRouter<P, R> {
     clock: Clock,
     scheduler: Scheduler,
@@ -67,7 +69,8 @@
 }
 
 impl<P, R> RequestRouter<P, R> {
-    /// A router for one gateway, and a handle to it.
+    /// Creates the router of a gateway, and a handle to it. `seed` initializes the scheduler's random
+    /// numbers.
     pub fn new(
         settings: SchedulerSettings,
         seed: u64,
@@ -86,14 +89,14 @@
         (router, RouterHandle::new(sender))
     }
 
-    /// Runs until the last handle is dropped.
+    /// Handles commands and timers until the last handle is dropped.
     pub async fn run(mut self, mut transport: impl AttemptTransport<P>) {
         let mut commands = Vec::new();
         loop {
-            let next_timer = self.timers.peek().map(|timer| self.clock.instant_at(timer.0.due_at_us));
-            let timer_due = async {
-                match next_timer {
-                    Some(due) => tokio::time::sleep_until(due).await,
+            let next_expiry = self.timers.peek().map(|timer| self.clock.instant_at(timer.0.fires_at_us));
+            let timer_expired = async {
+                match next_expiry {
+                    Some(expiry) => tokio::time::sleep_until(expiry).await,
                     None => std::future::pending().await,
                 }
             };
@@ -103,7 +106,7 @@
                         return;
                     }
                 }
-                () = timer_due => {}
+                () = timer_expired => {}
             }
             let now_us = self.clock.now_us();
             let events =
@@ -112,16 +115,16 @@
         }
     }
 
-    /// Runs the scheduler on these events and the due timers, and applies its actions, until no event is
-    /// left. An attempt that can no longer be sent yields an event for the next batch.
+    /// Runs the scheduler on `events` and the expired timers and applies its actions, until neither events
+    /// nor expired timers remain. An attempt that may no longer be sent yields an event for the next round.
     fn run_scheduler(
         &mut self,
         mut events: Vec<Event>,
         now_us: u64,
         transport: &mut impl AttemptTransport<P>,
     ) {
-        while !events.is_empty() || self.timer_is_due(now_us) {
-            while self.timer_is_due(now_us) {
+        while !events.is_empty() || self.has_expired_timer(now_us) {
+            while self.has_expired_timer(now_us) {
                 events.extend(self.timers.pop().map(|timer| Event::TimerFired(timer.0.token)));
             }
             let mut actions = Vec::new();
@@ -133,11 +136,11 @@
         }
     }
 
-    fn timer_is_due(&self, now_us: u64) -> bool {
-        self.timers.peek().is_some_and(|timer| timer.0.due_at_us <= now_us)
+    fn has_expired_timer(&self, now_us: u64) -> bool {
+        self.timers.peek().is_some_and(|timer| timer.0.fires_at_us <= now_us)
     }
 
-    /// Handles a command; returns the event that the scheduler is notified of.
+    /// Handles a command and returns the event to pass to the scheduler, if any.
     fn handle_command(&mut self, command: Command<P, R>, now_us: u64) -> Option<Event> {
         match command {
             Command::Submit { request, payload, responder } => {
@@ -198,7 +201,7 @@
         Some(event)
     }
 
-    /// The event that notifies the scheduler of the end of an attempt.
+    /// Returns the event that reports the end of an attempt to the scheduler.
     fn attempt_ended_event(
         &self,
         request: RequestId,
@@ -219,7 +222,7 @@
         })
     }
 
-    /// Carries out an action; returns the event that it leads to at once, if any.
+    /// Applies an action and returns the event that immediately follows from it, if any.
     fn apply_action(
         &mut self,
         action: Action,
@@ -240,14 +243,15 @@
                 self.remove_if_complete(request);
             }
             Action::SetTimer { after_us, token } => {
-                self.timers.push(Reverse(Timer { due_at_us: now_us + after_us, token }));
+                self.timers.push(Reverse(Timer { fires_at_us: now_us + after_us, token }));
             }
             Action::WatchEndpoints => transport.watch_endpoints(),
         }
         None
     }
 
-    /// Starts an attempt, unless the request has been answered or its time is up.
+    /// Starts an attempt. If the request has been answered or has expired, or its client has disconnected,
+    /// returns the event that reports the attempt as not sent instead.
     fn send_attempt(
         &mut self,
         request: RequestId,
@@ -256,9 +260,9 @@
         now_us: u64,
         transport: &mut impl AttemptTransport<P>,
     ) -> Option<Event> {
-        let is_owed =
+        let may_be_sent =
             |entry: &&mut InFlightRequest<P, R>| entry.responder.is_some() && now_us < entry.expires_at_us;
-        let Some(entry) = self.requests.get_mut(&request).filter(is_owed) else {
+        let Some(entry) = self.requests.get_mut(&request).filter(may_be_sent) else {
             let result = AttemptResult::without_response(AttemptOutcome::NotSent);
             self.metrics.count_attempt(result.outcome);
             return Some(self.attempt_ended_event(request, node, now_us, &result, now_us));
@@ -291,22 +295,24 @@
         }
     }
 
-    /// Takes the right to give the final answer, if one is still owed; from now on no attempt may begin.
+    /// Takes the sender for the final answer, and revokes the permission to start attempts at the request.
+    /// Returns `None` if the request has already been answered, its client has disconnected, or it is
+    /// unknown.
     fn take_responder(&mut self, request: RequestId) -> Option<oneshot::Sender<FinalAnswer<R>>> {
         let entry = self.requests.get_mut(&request)?;
-        entry.interest.end();
+        entry.interest.revoke();
         entry.responder.take()
     }
 
-    /// Gives the final answer; does nothing if it has been given.
+    /// Sends the final answer; does nothing if the request has been answered or its client has disconnected.
     fn answer(&mut self, request: RequestId, answer: FinalAnswer<R>) {
         let Some(responder) = self.take_responder(request) else { return };
         self.metrics.count_answer(&answer);
-        // A client that left in this moment needs no answer.
+        // Sending fails only if the client has just disconnected, and then no answer is needed.
         let _ = responder.send(answer);
     }
 
-    /// Removes a request that owes nothing and has no attempt in flight.
+    /// Removes the request if it no longer needs an answer and has no attempt in flight.
     fn remove_if_complete(&mut self, request: RequestId) {
         if self
             .requests
