--- a/src/bin/scheduler-simulator-adapter/messages.rs
+++ b/src/bin/scheduler-simulator-adapter/messages.rs
@@ -66,15 +66,15 @@
         /// The scheduler that receives the update.
         instance: InstanceId,
         /// How the scheduler is to apply the list.
-        kind: EndpointUpdateKind,
-        /// The id of the list; ignored for [`EndpointUpdateKind::PollFailed`].
+        kind: UpdateKind,
+        /// The id of the list; ignored for [`UpdateKind::PollFailed`].
         list: ListId,
     },
     /// Adds an event to the current batch.
     Deliver {
         /// The scheduler that receives the event.
         instance: InstanceId,
-        /// The event, in the scheduler's own type.
+        /// The event, which the scheduler handles when the batch ends.
         event: Event,
     },
     /// Ends the batch; the simulator then waits for the reply.
@@ -83,7 +83,7 @@
 
 /// The variants of `EndpointUpdate`, without the endpoints.
 #[derive(Clone, Copy, Debug)]
-pub enum EndpointUpdateKind {
+pub enum UpdateKind {
     /// The list contains only the endpoints that changed.
     Delta,
     /// The list contains all endpoints.
@@ -167,10 +167,10 @@
     fn update_endpoints(&self) -> Result<Option<Message>, MessageError> {
         let WireEndpointUpdate { form, list } = self.body()?;
         let kind = match form.as_str() {
-            "delta" => EndpointUpdateKind::Delta,
-            "full" => EndpointUpdateKind::Snapshot,
-            "cached" => EndpointUpdateKind::Cached,
-            "failed" => EndpointUpdateKind::PollFailed,
+            "delta" => UpdateKind::Delta,
+            "full" => UpdateKind::Snapshot,
+            "cached" => UpdateKind::Cached,
+            "failed" => UpdateKind::PollFailed,
             _ => return Ok(None),
         };
         Ok(Some(Message::UpdateEndpoints { instance: self.instance()?, kind, list }))
--- a/src/bin/scheduler-simulator-adapter/session.rs
+++ b/src/bin/scheduler-simulator-adapter/session.rs
@@ -1,7 +1,7 @@
 //! The running scheduler instances, and the events collected for the current batch.
 
 use crate::ids::{InstanceId, ListId};
-use crate::messages::{EndpointUpdateKind, Message};
+use crate::messages::{Message, UpdateKind};
 use crate::replies::Reply;
 use indexmap::IndexMap;
 use std::any::Any;
@@ -63,17 +63,13 @@
         Ok(())
     }
 
-    fn endpoint_update(
-        &self,
-        kind: EndpointUpdateKind,
-        list: ListId,
-    ) -> Result<EndpointUpdate, SessionError> {
+    fn endpoint_update(&self, kind: UpdateKind, list: ListId) -> Result<EndpointUpdate, SessionError> {
         let endpoints = || self.endpoint_lists.get(&list).cloned().ok_or(SessionError::UnknownList);
         Ok(match kind {
-            EndpointUpdateKind::Delta => EndpointUpdate::Delta(endpoints()?),
-            EndpointUpdateKind::Snapshot => EndpointUpdate::Snapshot(endpoints()?),
-            EndpointUpdateKind::Cached => EndpointUpdate::Cached(endpoints()?),
-            EndpointUpdateKind::PollFailed => EndpointUpdate::PollFailed,
+            UpdateKind::Delta => EndpointUpdate::Delta(endpoints()?),
+            UpdateKind::Snapshot => EndpointUpdate::Snapshot(endpoints()?),
+            UpdateKind::Cached => EndpointUpdate::Cached(endpoints()?),
+            UpdateKind::PollFailed => EndpointUpdate::PollFailed,
         })
     }
 
--- a/src/bin/scheduler-simulator-adapter/wire.rs
+++ b/src/bin/scheduler-simulator-adapter/wire.rs
@@ -67,7 +67,8 @@
 }
 
 impl WireEndpoint {
-    /// Converts the entry for the scheduler. Any readiness other than `live` and `dead` counts as draining.
+    /// Converts the entry to the scheduler's type. Any readiness other than `live` and `dead` counts as
+    /// draining.
     pub fn to_endpoint(&self) -> Endpoint {
         let state = match self.state.as_str() {
             "live" => EndpointState::Ready,
@@ -118,7 +119,7 @@
 }
 
 impl WireRequest {
-    /// Converts the request for the scheduler.
+    /// Converts the body to the scheduler's request type.
     ///
     /// # Errors
     ///
@@ -182,7 +183,7 @@
 }
 
 impl WireAttemptEnd {
-    /// Converts the result for the scheduler.
+    /// Converts the body to the scheduler's attempt report.
     pub fn to_report(&self) -> AttemptReport {
         let is_metered = self.volume_rate_percent_plus_one > 0.0;
         AttemptReport {
@@ -248,7 +249,7 @@
 }
 
 impl WireHealthCheck {
-    /// Converts the message to a scheduler event.
+    /// Converts the body to a scheduler event.
     pub fn to_event(&self) -> Event {
         Event::HealthCheckCompleted {
             node: self.node.as_str().into(),
@@ -268,7 +269,7 @@
 }
 
 impl WireGossip {
-    /// Converts the message to a scheduler event.
+    /// Converts the body to a scheduler event.
     pub fn into_event(self) -> Event {
         Event::GossipReceived { gateway: self.gateway, message: self.message }
     }
