--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: queued requests are ranked, and sent while the nodes' windows have free slots.
+//! Dispatch: ranks the queued requests and sends them while the nodes' concurrency windows have free slots.
 
 use super::Scheduler;
 use super::action::Action;
@@ -7,30 +7,34 @@
 use super::request::{AttemptInFlight, RateLimitCharge, Request, RequestState};
 use super::settings::Idempotency;
 
-/// The longest gap between two attempts at a paced node.
+/// Maximum gap between two attempts at a paced node.
 const MAX_PACING_GAP_US: f64 = 5_000_000.0;
-/// The gap after an attempt is the pacing interval times a random factor between this and this plus one.
+/// Lower bound of the random factor by which the pacing interval is multiplied after each attempt; the upper
+/// bound is one more.
 const MIN_PACING_GAP_FACTOR: f64 = 0.5;
 
-/// The order in which queued requests are considered for a free slot.
+/// The priority order in which queued requests are considered for a free slot, highest first.
+///
+/// A node is backlogged while a latency-bound request in the queue of its shard is past its queueing deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DispatchRank {
-    /// Latency-bound work, unless it falls under a later rank; and, where the node is short of capacity,
-    /// reserved background work that is past due and close to its objective.
+    /// Latency-bound requests that no later rank applies to. If the node is backlogged, this rank includes
+    /// urgent background requests within their volume's reservation.
     LatencyBound,
-    /// Background work within its volume's reservation.
+    /// Background requests within their volume's reservation.
     ReservedBackground,
-    /// Latency-bound work beyond its volume's reservation, where the node is short of capacity.
-    SurplusLatencyBound,
-    /// Background work beyond its volume's reservation.
-    SurplusBackground,
-    /// What can no longer meet its objective, where the node is short of capacity.
+    /// Latency-bound requests beyond their volume's reservation, if the node is backlogged.
+    UnreservedLatencyBound,
+    /// Background requests beyond their volume's reservation.
+    UnreservedBackground,
+    /// Requests that can no longer meet their latency objective, if the node is backlogged.
     PastObjective,
 }
 
 impl DispatchRank {
-    /// Whether requests of this rank are queued fairly among their volumes, rather than by due time alone.
-    fn is_fairly_queued(self) -> bool {
+    /// Returns whether requests of this rank are ordered by weighted fair queueing among their volumes, and
+    /// not only by queueing deadline.
+    fn uses_fair_queue(self) -> bool {
         !matches!(self, DispatchRank::LatencyBound | DispatchRank::PastObjective)
     }
 }
@@ -38,33 +42,34 @@
 /// A queued request that may be sent next.
 struct Candidate {
     rank: DispatchRank,
-    /// When it starts in the node's virtual time; 0 if its rank is not queued fairly.
+    /// The request's start time in the virtual time of the node's fair queue; 0 if its rank does not use fair
+    /// queueing.
     virtual_start: f64,
-    due_at_us: u64,
-    /// Its position in the queue.
+    queueing_deadline_us: u64,
+    /// The request's position in the queue.
     position: usize,
 }
 
-/// What is sent next to a node.
+/// The request that is sent next to a node.
 struct Selection {
     /// The request's position in the queue.
     position: usize,
-    /// Whether it is sent with the background work.
+    /// Whether the request uses a slot of the background class.
     as_background: bool,
 }
 
 impl Scheduler {
-    /// Fills the nodes' windows from the queues.
+    /// Sends queued requests until the windows of all nodes are full or nothing more may be sent.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let mut order: Vec<NodeIndex> = (0..self.nodes.len()).collect();
-        // A draining node comes last: its successor, once listed, takes the shard's work.
+        // Draining nodes come last, so that the requests of a shard go to its new node once that is listed.
         order.sort_by_key(|node| (!self.nodes[*node].is_ready(), self.nodes[*node].in_flight));
         for node in order {
             self.dispatch_to(node, actions);
         }
     }
 
-    /// Fills a node's window from the queue of its shard.
+    /// Sends requests from the queue of the node's shard until the node's window is full.
     fn dispatch_to(&mut self, node: NodeIndex, actions: &mut Vec<Action>) {
         let shard = self.nodes[node].shard;
         let Some(mut queue) = self.queues.remove(&shard) else { return };
@@ -82,17 +87,17 @@
         }
     }
 
-    /// Which of the queued requests is sent next to this node.
+    /// Selects the queued request to send to this node next; `None` if no request may be sent now.
     fn select_next(&mut self, node: NodeIndex, queue: &[RequestId]) -> Option<Selection> {
-        // EXCEPTION: if latency-bound work is past due, the node is short of capacity. Earliest-due-first
-        // would then serve work that has already lost its full weight, so work beyond its volume's
-        // reservation is ranked with the background work, and work that would miss its objective is ranked
-        // last.
-        let is_short = queue.iter().any(|id| {
+        // Deviation from the paper: the node is backlogged if a latency-bound request is past its queueing
+        // deadline. Earliest-deadline-first order would then serve requests that no longer earn their full
+        // priority weight. Requests beyond their volume's reservation are therefore ranked with the background
+        // requests, and requests that would miss their objective are ranked last.
+        let is_backlogged = queue.iter().any(|id| {
             let request = &self.requests[id];
             !self.is_background(request) && request.due_at_us < self.now_us
         });
-        let candidates = self.ranked_candidates(node, queue, is_short);
+        let candidates = self.ranked_candidates(node, queue, is_backlogged);
         let is_latency_bound = |candidate: &Candidate| candidate.rank == DispatchRank::LatencyBound;
         let (latency_bound, background) = candidates.split_at(candidates.partition_point(is_latency_bound));
         let latency_bound = self.first_sendable(latency_bound, queue, node);
@@ -102,9 +107,10 @@
             (None, Some(position)) => Some(Selection { position, as_background: true }),
             (None, None) => None,
             (Some(latency_bound), Some(background)) => {
-                // EXCEPTION: while the node is short, latency-bound work always goes first. Alpha is low
-                // after a quiet period and would give most slots to background work until it recovers.
-                if is_short || self.slot_split.draw_latency_bound(&mut self.rng) {
+                // Deviation from the paper: while the node is backlogged, latency-bound requests always go
+                // first. Alpha is low after a period of light load and would assign most slots to background
+                // requests until it recovers.
+                if is_backlogged || self.slot_split.draw_latency_bound(&mut self.rng) {
                     Some(Selection { position: latency_bound, as_background: false })
                 } else {
                     Some(Selection { position: background, as_background: true })
@@ -113,7 +119,7 @@
         }
     }
 
-    /// The position in the queue of the first candidate that may be sent now.
+    /// Returns the queue position of the first candidate that may be sent to the node now.
     fn first_sendable(
         &mut self,
         candidates: &[Candidate],
@@ -124,36 +130,42 @@
         positions.find(|position| self.may_be_sent_now(queue[*position], node))
     }
 
-    fn ranked_candidates(&self, node: NodeIndex, queue: &[RequestId], is_short: bool) -> Vec<Candidate> {
+    /// Returns all queued requests, sorted by rank, then virtual start time, then queueing deadline.
+    fn ranked_candidates(&self, node: NodeIndex, queue: &[RequestId], is_backlogged: bool) -> Vec<Candidate> {
         let node = &self.nodes[node];
         let mut candidates = Vec::with_capacity(queue.len());
         for (position, id) in queue.iter().enumerate() {
             let request = &self.requests[id];
-            let rank = self.rank(request, node, is_short);
+            let rank = self.rank(request, node, is_backlogged);
             let virtual_start =
-                if rank.is_fairly_queued() { node.fair_queue.start_time(request.volume) } else { 0.0 };
-            candidates.push(Candidate { rank, virtual_start, due_at_us: request.due_at_us, position });
+                if rank.uses_fair_queue() { node.fair_queue.start_time(request.volume) } else { 0.0 };
+            candidates.push(Candidate {
+                rank,
+                virtual_start,
+                queueing_deadline_us: request.due_at_us,
+                position,
+            });
         }
         candidates.sort_by(|first, second| {
             let by_rank = first.rank.cmp(&second.rank);
             by_rank
                 .then(first.virtual_start.total_cmp(&second.virtual_start))
-                .then(first.due_at_us.cmp(&second.due_at_us))
+                .then(first.queueing_deadline_us.cmp(&second.queueing_deadline_us))
         });
         candidates
     }
 
-    fn rank(&self, request: &Request, node: &NodeState, is_short: bool) -> DispatchRank {
-        if is_short && self.would_be_late(request, node) {
+    fn rank(&self, request: &Request, node: &NodeState, is_backlogged: bool) -> DispatchRank {
+        if is_backlogged && self.would_miss_objective(request, node) {
             return DispatchRank::PastObjective;
         }
         match (self.is_background(request), request.reserved) {
-            // Where the node is short, reserved background work competes with latency-bound work once it is
-            // pressing.
-            (true, true) if is_short && self.is_pressing(request) => DispatchRank::LatencyBound,
+            // If the node is backlogged, urgent background requests within their reservation compete with
+            // latency-bound requests.
+            (true, true) if is_backlogged && self.is_urgent(request) => DispatchRank::LatencyBound,
             (true, true) => DispatchRank::ReservedBackground,
-            (true, false) => DispatchRank::SurplusBackground,
-            (false, false) if is_short => DispatchRank::SurplusLatencyBound,
+            (true, false) => DispatchRank::UnreservedBackground,
+            (false, false) if is_backlogged => DispatchRank::UnreservedLatencyBound,
             (false, _) => DispatchRank::LatencyBound,
         }
     }
@@ -162,28 +174,31 @@
         request.class == self.background_class
     }
 
-    /// Whether a request is past due and its objective ends within one tightest objective from now.
-    fn is_pressing(&self, request: &Request) -> bool {
-        let pressing_until_us = self.now_us + self.tightest_objective_us as u64;
-        request.due_at_us < self.now_us && request.objective_at_us < pressing_until_us
+    /// Returns whether a request is past its queueing deadline and less time than the tightest latency objective
+    /// of all classes remains until its own objective.
+    fn is_urgent(&self, request: &Request) -> bool {
+        let urgent_until_us = self.now_us + self.tightest_objective_us as u64;
+        request.due_at_us < self.now_us && request.objective_at_us < urgent_until_us
     }
 
-    /// Whether a request would miss its objective if it were sent to this node now.
-    fn would_be_late(&self, request: &Request, node: &NodeState) -> bool {
+    /// Returns whether a request would miss its latency objective if it were sent to this node now.
+    fn would_miss_objective(&self, request: &Request, node: &NodeState) -> bool {
         self.now_us + node.expected_latency_us(request.units) as u64 > request.objective_at_us
     }
 
-    /// The priority of this request if it is sent to this node now, relative to the highest possible.
+    /// Returns the priority that this request has if it is sent to this node now, as a fraction of the highest
+    /// possible priority.
     fn priority(&self, request: &Request, node: &NodeState) -> f64 {
         let class = self.settings.class(request.class);
         let plan = self.settings.plan(request.plan);
-        let surplus_factor = if request.reserved { 1.0 } else { self.settings.fair_share_weight_factor };
-        let late_factor = if self.would_be_late(request, node) { class.late_weight_factor } else { 1.0 };
-        class.priority_weight * plan.priority_factor / self.max_priority * surplus_factor * late_factor
+        let unreserved_factor = if request.reserved { 1.0 } else { self.settings.fair_share_weight_factor };
+        let late_factor =
+            if self.would_miss_objective(request, node) { class.late_weight_factor } else { 1.0 };
+        class.priority_weight * plan.priority_factor / self.max_priority * unreserved_factor * late_factor
     }
 
-    /// How long until this request may be sent to a node, in microseconds. The gap at a paced node is divided
-    /// by the priority, so that less important requests wait longer.
+    /// Returns how long pacing, backoff and slow start delay this request at a node, in microseconds. The gap at
+    /// a paced node is divided by the request's priority, so that requests of lower priority wait longer.
     pub(super) fn node_wait_us(&self, node: &NodeState, request: &Request) -> u64 {
         let pacing_gap_us = if node.pacing.is_active() {
             (node.pacing.gap_us() / self.priority(request, node)).min(MAX_PACING_GAP_US) as u64
@@ -195,22 +210,23 @@
         ready_at_us.saturating_sub(self.now_us).max(slow_start_wait_us)
     }
 
-    /// The shortest such wait among the nodes of the request's shard that accept work; none if there are
-    /// none.
+    /// Returns the shortest [`Scheduler::node_wait_us`] among the nodes of the request's shard that accept
+    /// requests; `None` if no node does.
     pub(super) fn shortest_node_wait_us(&self, request: &Request) -> Option<u64> {
         let shard = request.shard();
-        let serving =
+        let accepting_nodes =
             self.nodes.iter().filter(|node| node.accepts_work(self.now_us) && Some(node.shard) == shard);
-        serving.map(|node| self.node_wait_us(node, request)).min()
+        accepting_nodes.map(|node| self.node_wait_us(node, request)).min()
     }
 
-    /// Whether the rules allow a request to be sent to this node now.
+    /// Returns whether a request may be sent to this node now, according to the node's delays, the idempotency
+    /// and ordering rules, the volume's rate limit and the retry budget.
     fn may_be_sent_now(&mut self, id: RequestId, node: NodeIndex) -> bool {
         let request = &self.requests[&id];
         if self.node_wait_us(&self.nodes[node], request) > 0 || !self.may_be_sent_to(request, node) {
             return false;
         }
-        // What failed at a node is retried at another of its shard, where one has capacity.
+        // A retry goes to another node of the shard if one has capacity.
         if request.last_node == Some(node) && self.another_node_has_capacity(node) {
             return false;
         }
@@ -221,14 +237,15 @@
         !is_retry || self.retry_usage.admits_retry(self.now_us)
     }
 
-    /// Whether another node of the same shard has capacity.
+    /// Returns whether another node of the same shard has capacity.
     fn another_node_has_capacity(&self, node: NodeIndex) -> bool {
         let shard = self.nodes[node].shard;
         let mut others = self.nodes.iter().enumerate().filter(|(index, _)| *index != node);
         others.any(|(_, other)| other.shard == shard && other.has_capacity(self.now_us))
     }
 
-    /// Whether the rate limit of a request's volume admits it now.
+    /// Returns whether the rate limit of the request's volume admits it now; true if the request is already
+    /// charged to the limit or its plan has none.
     fn rate_limit_admits(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         if !request.owes_rate_limit() {
@@ -240,6 +257,7 @@
         volume.rate_limit_admits(plan, request.units)
     }
 
+    /// Sends an attempt and records it in the retry budget, the rate limit and the state of the node.
     fn send(&mut self, id: RequestId, node_index: NodeIndex, actions: &mut Vec<Action>) {
         let request = &mut self.requests[&id];
         let node = &mut self.nodes[node_index];
@@ -272,17 +290,22 @@
         actions.push(Action::SendAttempt { request: id, node, timeout_us });
     }
 
-    /// EXCEPTION: at an overloaded node an attempt times out at its objective, if nodes honour cancellation.
-    /// Non-idempotent requests are excluded, because their clients may be unable to retry; so are requests
-    /// with less time left than an attempt takes, which would only waste work.
+    /// Returns the timeout of an attempt, in microseconds from now; `None` if the attempt may last until the
+    /// request expires.
+    ///
+    /// Deviation from the paper: if nodes support cancellation, an attempt at an overloaded node (one whose
+    /// window is at its minimum) times out at the request's latency objective. Non-idempotent requests are
+    /// excluded, because their clients may be unable to retry. Requests with less time left than an attempt is
+    /// expected to take are excluded too, because their timeout would only waste the node's work.
     fn attempt_timeout_us(&self, id: RequestId, node: NodeIndex) -> Option<u64> {
         let (request, node) = (&self.requests[&id], &self.nodes[node]);
         let idempotency = self.settings.class(request.class).idempotency;
-        let may_be_cut = self.settings.cancellation
+        let may_time_out_early = self.settings.cancellation
             && idempotency != Idempotency::NonIdempotent
             && node.window.is_minimal();
-        let left_us = request.objective_at_us.saturating_sub(self.now_us);
-        let is_enough = left_us > 0 && left_us as f64 >= node.expected_latency_us(request.units);
-        (may_be_cut && is_enough).then_some(left_us)
+        let remaining_us = request.objective_at_us.saturating_sub(self.now_us);
+        let has_enough_time =
+            remaining_us > 0 && remaining_us as f64 >= node.expected_latency_us(request.units);
+        (may_time_out_early && has_enough_time).then_some(remaining_us)
     }
 }
