--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -1,4 +1,5 @@
-//! The end of an attempt: what is learnt of its node and its volume, and what becomes of the request.
+//! Handles the end of an attempt: updates the state of its node and volume, and finishes, retries, rejects or
+//! fails the request.
 
 use super::Scheduler;
 use super::action::Action;
@@ -8,21 +9,23 @@
 use super::node::ServiceScale;
 use super::request::{AttemptInFlight, PossibleExecution};
 
-/// After a rejection by a node, the backoff starts at this part of the pause, and grows up to so many pauses.
+/// Initial backoff after a rejection by a node: the base backoff divided by this.
 const REJECTION_BACKOFF_DIVISOR: u64 = 4;
-const MAX_REJECTION_BACKOFF_PAUSES: u64 = 2;
-/// After a broken connection, the backoff starts at this part of the pause, and grows up to so many times the
-/// connect timeout.
+/// Maximum backoff after rejections by a node, as a multiple of the base backoff.
+const MAX_REJECTION_BACKOFF_FACTOR: u64 = 2;
+/// Initial backoff after a connection failed or broke: the base backoff divided by this.
 const CONNECTION_BACKOFF_DIVISOR: u64 = 8;
-const MAX_CONNECTION_BACKOFF_TIMEOUTS: u64 = 8;
-/// After timeouts, the backoff starts at this part of the connect timeout, and grows up to so many times it.
+/// Maximum backoff after connections failed or broke, as a multiple of the connect timeout.
+const MAX_CONNECTION_BACKOFF_FACTOR: u64 = 8;
+/// Initial backoff after timeouts: the connect timeout divided by this.
 const TIMEOUT_BACKOFF_DIVISOR: u64 = 4;
-const MAX_TIMEOUT_BACKOFF_TIMEOUTS: u64 = 2;
-/// The pause after a failure is at most this part of the tightest objective.
-const PAUSE_OBJECTIVE_DIVISOR: u64 = 3;
+/// Maximum backoff after timeouts, as a multiple of the connect timeout.
+const MAX_TIMEOUT_BACKOFF_FACTOR: u64 = 2;
+/// The base backoff is at most the tightest latency objective divided by this.
+const BASE_BACKOFF_OBJECTIVE_DIVISOR: u64 = 3;
 
 impl Scheduler {
-    /// Handles the end of an attempt.
+    /// Handles the end of an attempt. Does nothing if the request has no attempt in flight.
     pub(super) fn end_attempt(&mut self, report: &AttemptReport, actions: &mut Vec<Action>) {
         let request = self.requests.get_mut(&report.request);
         let Some(attempt) = request.and_then(|request| request.take_attempt()) else { return };
@@ -33,10 +36,10 @@
         self.adjust_pacing(report, &attempt);
         self.nodes[attempt.node].release_attempt(attempt.presumed_lost);
         self.record_outcome(report, &attempt);
-        self.conclude(report, actions);
+        self.finish_or_retry(report, actions);
     }
 
-    /// What a node served while it was warm tells what it may be sent the next time that it warms up.
+    /// Records the units that a warm node served; the rate is used when a node of its shard next warms up.
     fn record_served_units(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let node = &self.nodes[attempt.node];
         let succeeded = report.outcome == AttemptOutcome::Succeeded;
@@ -46,21 +49,23 @@
         }
     }
 
+    /// Records an attempt that may have run on its node. If the attempt may still be running, other first
+    /// attempts for the block are delayed.
     fn record_possible_execution(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
-        let may_still_run = matches!(
+        let may_be_running = matches!(
             report.outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
-        if may_still_run || report.outcome == AttemptOutcome::Failed {
+        if may_be_running || report.outcome == AttemptOutcome::Failed {
             let execution = PossibleExecution { node: attempt.node, sent_at_us: attempt.sent_at_us };
             self.requests[&report.request].possible_execution.get_or_insert(execution);
         }
-        if may_still_run {
+        if may_be_running {
             self.delay_block(report.request);
         }
     }
 
-    /// Records what the report tells of the volume's service through other gateways.
+    /// Records the rate at which the volume is served through other gateways, if the node reports it.
     fn record_volume_rates(&mut self, report: &AttemptReport) {
         let request = &self.requests[&report.request];
         let plan = self.settings.plan(request.plan);
@@ -81,24 +86,25 @@
         }
     }
 
-    /// Adjusts the pacing of the attempt's node by how long the attempt took beyond its service.
+    /// Adjusts the pacing of the attempt's node to the attempt's latency in excess of its service time.
     fn adjust_pacing(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let tightest_objective_us = self.tightest_objective_us;
         let units = self.requests[&report.request].units;
         let node = &mut self.nodes[attempt.node];
-        // The service time is the fastest eighth of the samples; twice that approximates the mean. Without
-        // the factor a large request would look as if it had been queued.
+        // The recorded service time is the fastest eighth of the samples; twice that approximates the mean.
+        // Without the factor, the service time of a large request would be mistaken for queueing.
         let excess_latency_us =
             (report.latency_us as f64 - 2.0 * node.service_time_per_unit_us * units).max(0.0);
-        // A cancelled or timed-out attempt gives only a lower bound, so it counts only if that is already an
-        // overload.
-        let was_cut = matches!(report.outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut)
-            && excess_latency_us > OVERLOAD_OBJECTIVE_FRACTION * tightest_objective_us;
-        if !was_cut && report.outcome != AttemptOutcome::Succeeded {
+        // The latency of a cancelled or timed-out attempt is only a lower bound. It is used only if this bound
+        // already indicates an overload.
+        let is_overload_bound =
+            matches!(report.outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut)
+                && excess_latency_us > OVERLOAD_OBJECTIVE_FRACTION * tightest_objective_us;
+        if !is_overload_bound && report.outcome != AttemptOutcome::Succeeded {
             return;
         }
-        // The longest queue to spread out: a mean request from each gateway, less what is served within the
-        // objective.
+        // The longest queue that pacing has to spread: one mean request from each gateway, less the work that
+        // the node can do within the tightest objective.
         let fleet_service_us = self.settings.gateway_count as f64
             * node.service_time_per_unit_us
             * self.settings.mean_request_units;
@@ -111,31 +117,32 @@
         });
     }
 
-    /// Records what the outcome tells of the node's health and latency.
+    /// Updates the node's health and latency state according to the outcome of the attempt.
     fn record_outcome(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let now_us = self.now_us;
         let (rejection, connection, timeout) =
             (self.rejection_backoff(), self.connection_backoff(), self.timeout_backoff());
         let units = self.requests[&report.request].units;
         let node = &mut self.nodes[attempt.node];
-        // A timeout or a broken connection counts against the node only if no attempt at it has succeeded
-        // since.
+        // A timeout or a connection failure counts as a failure of the node only if no attempt at the node has
+        // succeeded since this one was sent.
         let succeeded_since = node.successes != attempt.node_successes;
         match report.outcome {
             AttemptOutcome::Succeeded => self.record_success(report, attempt),
             AttemptOutcome::Rejected => {
-                // If the node is draining, its grace is over.
+                // If the node is draining, it is not sent any further requests.
                 node.drain_until_us = 0;
                 node.record_failure(now_us, rejection);
             }
             AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset if !succeeded_since => {
                 node.record_failure(now_us, connection);
             }
-            // A timeout at the objective may have been very short. The node counts as failing only when its
-            // timeouts since the last success add up to more than a lost attempt takes.
+            // An attempt that times out at its objective may have had very little time. The node counts as
+            // failing only if the durations of the timeouts since the last success add up to more than the time
+            // after which an attempt is presumed lost.
             AttemptOutcome::TimedOut if !succeeded_since => {
-                let unanswered_us = node.health.record_timeout(report.latency_us);
-                if unanswered_us > LOST_AFTER_FACTOR * node.expected_latency_us(units) {
+                let total_timed_out_us = node.health.record_timeout(report.latency_us);
+                if total_timed_out_us > LOST_AFTER_FACTOR * node.expected_latency_us(units) {
                     node.record_failure(now_us, timeout);
                 }
             }
@@ -149,42 +156,43 @@
     }
 
     fn rejection_backoff(&self) -> Backoff {
-        let pause_us = self.failure_pause_us();
+        let base_us = self.base_backoff_us();
         Backoff {
-            initial_us: pause_us / REJECTION_BACKOFF_DIVISOR,
-            max_us: MAX_REJECTION_BACKOFF_PAUSES * pause_us,
+            initial_us: base_us / REJECTION_BACKOFF_DIVISOR,
+            max_us: MAX_REJECTION_BACKOFF_FACTOR * base_us,
         }
     }
 
     fn connection_backoff(&self) -> Backoff {
         Backoff {
-            initial_us: self.failure_pause_us() / CONNECTION_BACKOFF_DIVISOR,
-            max_us: MAX_CONNECTION_BACKOFF_TIMEOUTS * self.connect_time_us(),
+            initial_us: self.base_backoff_us() / CONNECTION_BACKOFF_DIVISOR,
+            max_us: MAX_CONNECTION_BACKOFF_FACTOR * self.effective_connect_timeout_us(),
         }
     }
 
     fn timeout_backoff(&self) -> Backoff {
-        let connect_us = self.connect_time_us();
+        let connect_timeout_us = self.effective_connect_timeout_us();
         Backoff {
-            initial_us: connect_us / TIMEOUT_BACKOFF_DIVISOR,
-            max_us: MAX_TIMEOUT_BACKOFF_TIMEOUTS * connect_us,
+            initial_us: connect_timeout_us / TIMEOUT_BACKOFF_DIVISOR,
+            max_us: MAX_TIMEOUT_BACKOFF_FACTOR * connect_timeout_us,
         }
     }
 
-    /// How long connections may take, at least one batch.
-    fn connect_time_us(&self) -> u64 {
+    /// Returns the connect timeout, in microseconds; at least one batch interval.
+    fn effective_connect_timeout_us(&self) -> u64 {
         self.settings.connect_timeout_us.max(self.settings.batch_interval_us)
     }
 
-    /// The unit of short backoffs: the connect timeout, or a part of the tightest objective if that is
-    /// shorter.
-    fn failure_pause_us(&self) -> u64 {
+    /// Returns the base of the backoffs after rejections and connection failures, in microseconds: the connect
+    /// timeout, or a fraction of the tightest latency objective if that is shorter; at least one batch
+    /// interval.
+    fn base_backoff_us(&self) -> u64 {
         let objective_us = self.tightest_objective_us as u64;
-        let pause_us = self.connect_time_us().min(objective_us / PAUSE_OBJECTIVE_DIVISOR);
-        pause_us.max(self.settings.batch_interval_us)
+        let base_us = self.effective_connect_timeout_us().min(objective_us / BASE_BACKOFF_OBJECTIVE_DIVISOR);
+        base_us.max(self.settings.batch_interval_us)
     }
 
-    /// Records the latency of an attempt that succeeded.
+    /// Records the latency of a successful attempt at its node and in the latency model of its class.
     fn record_success(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let scale = ServiceScale {
             tightest_objective_us: self.tightest_objective_us,
@@ -193,7 +201,8 @@
         let request = &self.requests[&report.request];
         let node = &mut self.nodes[attempt.node];
         node.record_success(self.now_us, report.latency_us, request.units, scale);
-        // A request that was sent behind others waited for them, which says nothing of its class.
+        // A request that was ranked with the background requests waited for others. Its latency is not
+        // representative of its class.
         let is_representative = request.reserved || !request.sent_as_background;
         if !request.is_answered() && is_representative {
             let latency_us = self.now_us - request.arrived_at_us;
@@ -201,8 +210,8 @@
         }
     }
 
-    /// Finishes the request, gives it up, or queues it for a retry.
-    fn conclude(&mut self, report: &AttemptReport, actions: &mut Vec<Action>) {
+    /// Finishes the request if it is answered, else queues it for a retry, rejects it or fails it.
+    fn finish_or_retry(&mut self, report: &AttemptReport, actions: &mut Vec<Action>) {
         let id = report.request;
         if report.complete || self.requests[&id].is_answered() {
             self.finish(id);
@@ -215,9 +224,10 @@
 
     fn may_be_retried(&self, id: RequestId, outcome: AttemptOutcome) -> bool {
         let request = &self.requests[&id];
-        let attempts_are_spent = self.settings.max_attempts.is_some_and(|max| request.attempts >= max);
-        let timed_out_late = outcome == AttemptOutcome::TimedOut && self.now_us >= request.objective_at_us;
-        let is_spent = attempts_are_spent || timed_out_late;
-        !is_spent && outcome != AttemptOutcome::NotSent && self.may_be_sent(request)
+        let attempts_exhausted = self.settings.max_attempts.is_some_and(|max| request.attempts >= max);
+        let timed_out_past_objective =
+            outcome == AttemptOutcome::TimedOut && self.now_us >= request.objective_at_us;
+        let must_not_retry = attempts_exhausted || timed_out_past_objective;
+        !must_not_retry && outcome != AttemptOutcome::NotSent && self.may_be_sent(request)
     }
 }
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -230,7 +230,7 @@
         if request.last_node == Some(node) && self.another_node_has_capacity(node) {
             return false;
         }
-        if !self.is_next_for_its_block(id, request) || !self.rate_limit_admits(id) {
+        if !self.is_next_for_block(id, request) || !self.rate_limit_admits(id) {
             return false;
         }
         let is_retry = self.requests[&id].attempts > 0;
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -1,63 +1,65 @@
-//! The health of a node: consecutive failures, the backoff after them, and attempts that are presumed lost.
+//! The health of a node: consecutive failures, the backoff after them, and the detection of lost attempts.
 
 use super::Scheduler;
 
-/// An attempt that takes so many times what is expected may be lost.
+/// Multiple of its expected latency after which an attempt may be lost.
 pub(super) const LOST_AFTER_FACTOR: f64 = 5.0;
-/// The backoff doubles up to so many times.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// How long a node is left alone after failures, in microseconds.
+/// The time for which a node is sent no attempts after a failure, in microseconds.
 #[derive(Clone, Copy)]
 pub(super) struct Backoff {
-    /// After the first failure; it doubles with each further one.
+    /// Backoff after the first failure; doubles with each consecutive failure.
     pub(super) initial_us: u64,
-    /// At most.
+    /// Upper bound of the backoff.
     pub(super) max_us: u64,
 }
 
-/// The health of a node.
+/// The failures and timeouts of a node since its last success, and its backoff.
 #[derive(Default)]
 pub(super) struct NodeHealth {
     consecutive_failures: u32,
     backoff_until_us: u64,
-    /// The total duration of the attempts that have timed out since the last success, in microseconds.
-    unanswered_us: f64,
-    /// How long the oldest attempt in flight has been so, in microseconds.
+    /// Total duration of the attempts that have timed out since the last success, in microseconds.
+    total_timed_out_us: f64,
+    /// Time for which the oldest attempt has been in flight, in microseconds; 0 if none is in flight.
     pub(super) oldest_in_flight_us: f64,
 }
 
 impl NodeHealth {
-    /// Whether the node's latest attempts failed.
+    /// Returns whether a failure has been recorded since the last success.
     pub(super) fn is_failing(&self) -> bool {
         self.consecutive_failures > 0
     }
 
-    /// Whether the node may be sent an attempt again.
+    /// Returns whether the backoff has ended; true for a node that has not failed.
     pub(super) fn backoff_is_over(&self, now_us: u64) -> bool {
         now_us >= self.backoff_until_us
     }
 
-    /// When the backoff ends.
+    /// Returns the time at which the backoff ends; 0 for a node that has not failed.
     pub(super) fn backoff_until_us(&self) -> u64 {
         self.backoff_until_us
     }
 
-    /// Records that an attempt succeeded.
+    /// Records that an attempt succeeded: resets the failure count and the total duration of timeouts. A backoff
+    /// in progress still runs to its end.
     pub(super) fn record_success(&mut self) {
         self.consecutive_failures = 0;
-        self.unanswered_us = 0.0;
+        self.total_timed_out_us = 0.0;
     }
 
-    /// Records that an attempt timed out after this long; returns the total duration of the attempts that
-    /// have timed out since the last success, in microseconds.
+    /// Records that an attempt timed out after `latency_us`. Returns the total duration of the attempts that have
+    /// timed out since the last success, in microseconds.
     pub(super) fn record_timeout(&mut self, latency_us: u64) -> f64 {
-        self.unanswered_us += latency_us as f64;
-        self.unanswered_us
+        self.total_timed_out_us += latency_us as f64;
+        self.total_timed_out_us
     }
 
-    /// Records a failure, which starts a backoff. The first ones are short: a single broken connection says
-    /// little of its node, and a pause as long as the objective would fail everything that is queued.
+    /// Records a failure, which starts a backoff. The first backoffs are short, because a single broken
+    /// connection says little about the health of its node, and a backoff as long as the latency objective would
+    /// make every queued request miss it.
     pub(super) fn record_failure(&mut self, now_us: u64, backoff: Backoff) {
         self.consecutive_failures += 1;
         let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
@@ -66,10 +68,14 @@
 }
 
 impl Scheduler {
-    /// EXCEPTION: an attempt that takes several times what is expected, while others at its node have since
-    /// succeeded, is presumed lost, and no longer fills the window; so is one in flight alone at twice that
-    /// time. Guards against answers that are lost on the way, hung workers, and stalled or partitioned nodes;
-    /// may overfill a node where a few requests cost far more than their size tells, or that merely pauses.
+    /// Marks attempts that are presumed lost, and updates the age of the oldest attempt in flight at each node.
+    ///
+    /// Deviation from the paper: an attempt that takes several times its expected latency is presumed lost if at
+    /// least two attempts at its node have succeeded since it was sent. An attempt that is the only one
+    /// in flight at its node, apart from lost ones, is presumed lost after twice that time unless the node is
+    /// failing. Lost attempts no longer occupy the concurrency window. This guards against responses lost in the
+    /// network, hung workers, and stalled or partitioned nodes. It may overload a node that only pauses, or at
+    /// which a few requests cost far more than their size suggests.
     pub(super) fn mark_lost_attempts(&mut self) {
         for node in &mut self.nodes {
             node.health.oldest_in_flight_us = 0.0;
@@ -80,11 +86,11 @@
             let node = &mut self.nodes[attempt.node];
             let elapsed_us = (self.now_us - attempt.sent_at_us) as f64;
             node.health.oldest_in_flight_us = node.health.oldest_in_flight_us.max(elapsed_us);
-            let ratio = elapsed_us / node.expected_latency_us(units).max(1.0);
+            let latency_ratio = elapsed_us / node.expected_latency_us(units).max(1.0);
             let is_alone = node.in_flight == node.presumed_lost + 1 && !node.health.is_failing();
             let was_overtaken = node.successes >= attempt.node_successes + 2;
-            let is_lost =
-                (is_alone && ratio > 2.0 * LOST_AFTER_FACTOR) || (was_overtaken && ratio > LOST_AFTER_FACTOR);
+            let is_lost = (is_alone && latency_ratio > 2.0 * LOST_AFTER_FACTOR)
+                || (was_overtaken && latency_ratio > LOST_AFTER_FACTOR);
             if is_lost && !attempt.presumed_lost {
                 attempt.presumed_lost = true;
                 node.presumed_lost += 1;
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent again: idempotency, the retry budget, and the order of requests for one
-//! block.
+//! Decides whether a request may be sent or retried, by the rules for idempotency, the retry budget and the order
+//! of requests for one block.
 
 use super::Scheduler;
 use super::event::{BlockId, RequestId};
@@ -9,52 +9,58 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// RULE retry budget: the requests received and the retries sent within the budget's window.
+/// The requests received and the retries sent within the window of the retry budget.
+///
+/// Platform rule (retry budget): the number of retries sent within the window must not exceed a fixed burst plus
+/// a fixed ratio of the requests received within the window. Nothing is recorded if there is no budget.
 pub(super) struct RetryUsage {
     budget: Option<RetryBudget>,
-    requests_at_us: VecDeque<u64>,
-    retries_at_us: VecDeque<u64>,
+    request_times_us: VecDeque<u64>,
+    retry_times_us: VecDeque<u64>,
 }
 
 impl RetryUsage {
     pub(super) fn new(budget: Option<RetryBudget>) -> Self {
-        RetryUsage { budget, requests_at_us: VecDeque::new(), retries_at_us: VecDeque::new() }
+        RetryUsage { budget, request_times_us: VecDeque::new(), retry_times_us: VecDeque::new() }
     }
 
-    /// Records that a request was received.
+    /// Records that a request is received.
     pub(super) fn record_request(&mut self, now_us: u64) {
         if self.budget.is_some() {
-            self.requests_at_us.push_back(now_us);
+            self.request_times_us.push_back(now_us);
         }
     }
 
     /// Records that a retry is sent.
     pub(super) fn record_retry(&mut self, now_us: u64) {
         if self.budget.is_some() {
-            self.retries_at_us.push_back(now_us);
+            self.retry_times_us.push_back(now_us);
         }
     }
 
-    /// Whether one more retry stays within the budget.
+    /// Returns whether the budget allows one more retry now; always true if there is no budget.
     pub(super) fn admits_retry(&mut self, now_us: u64) -> bool {
         let Some(budget) = self.budget else { return true };
-        // At the edge of the window a request no longer counts, but a retry still does.
-        self.requests_at_us.retain(|at| at + budget.window_us > now_us);
-        self.retries_at_us.retain(|at| at + budget.window_us >= now_us);
-        let allowed = budget.burst + budget.ratio * self.requests_at_us.len() as f64;
-        self.retries_at_us.len() as f64 + 1.0 <= allowed
+        // A request received exactly one window ago no longer counts; a retry sent at that time still does.
+        self.request_times_us.retain(|at_us| at_us + budget.window_us > now_us);
+        self.retry_times_us.retain(|at_us| at_us + budget.window_us >= now_us);
+        let allowed = budget.burst + budget.ratio * self.request_times_us.len() as f64;
+        self.retry_times_us.len() as f64 + 1.0 <= allowed
     }
 }
 
+/// The unfinished requests for one block, in order of arrival.
 #[derive(Default)]
 struct BlockQueue {
     waiting: VecDeque<RequestId>,
-    /// The first attempt of the first of them is not sent before this.
+    /// Time before which no request for the block may have its first attempt sent.
     not_before_us: u64,
 }
 
-/// RULE ordering: the requests for each block that run one at a time, in order of arrival. Entries are never
-/// removed.
+/// The queues of requests for each block, of the classes that require order.
+///
+/// Platform rule (ordering): the requests of such a class for one block run one at a time, in order of arrival.
+/// The entries of blocks are never removed, even when their queues are empty.
 #[derive(Default)]
 pub(super) struct OrderingQueues(FxHashMap<BlockId, BlockQueue>);
 
@@ -69,15 +75,16 @@
         }
     }
 
-    /// Holds back first attempts for a block until then: an attempt that has ended may still be running on
-    /// its node. A retry is of the very request that may be running, and is not held back.
+    /// Delays first attempts for a block until the given time, because an attempt that the gateway considers
+    /// ended may still be running on its node. Retries are not delayed: the request that may still be running
+    /// is the one that is retried.
     fn delay(&mut self, block: BlockId, until_us: u64) {
         if let Some(queue) = self.0.get_mut(&block) {
             queue.not_before_us = queue.not_before_us.max(until_us);
         }
     }
 
-    /// Whether it is a request's turn.
+    /// Returns whether the request is the first in its block's queue and not delayed.
     fn admits(&self, block: BlockId, id: RequestId, is_first_attempt: bool, now_us: u64) -> bool {
         let Some(queue) = self.0.get(&block) else { return true };
         let is_delayed = is_first_attempt && now_us < queue.not_before_us;
@@ -86,36 +93,48 @@
 }
 
 impl Scheduler {
-    /// RULE idempotency: whether a request may be sent (again) to some node.
+    /// Returns whether a request may be sent, or sent again, regardless of which nodes recognize its idempotency
+    /// key.
+    ///
+    /// Platform rule (idempotency): a request that may have run is sent again only if its class is idempotent
+    /// or nodes still recognize its idempotency key.
     pub(super) fn may_be_sent(&self, request: &Request) -> bool {
-        let Some(earlier) = request.possible_execution else { return true };
+        let Some(earlier_attempt) = request.possible_execution else { return true };
         match self.settings.class(request.class).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::WithKey { window_us, .. } => {
-                // The attempt may be written as late as a connect timeout from now; the key must be
-                // recognized then.
+                // Connecting may delay the attempt by up to the connect timeout. The nodes must still recognize
+                // the key when the attempt is written to the connection.
                 let latest_write_at_us = self.now_us + self.settings.connect_timeout_us;
-                latest_write_at_us < earlier.sent_at_us + window_us
+                latest_write_at_us < earlier_attempt.sent_at_us + window_us
             }
         }
     }
 
-    /// RULE idempotency: whether a request may be sent (again) to this node.
+    /// Returns whether a request may be sent, or sent again, to this node.
+    ///
+    /// Platform rule (idempotency): a request with an idempotency key that may have run is sent again only to
+    /// nodes that recognize the key.
     pub(super) fn may_be_sent_to(&self, request: &Request, node: NodeIndex) -> bool {
-        let is_recognized =
+        let key_is_recognized =
             || match (request.possible_execution, self.settings.class(request.class).idempotency) {
-                (Some(earlier), Idempotency::WithKey { scope, .. }) => {
-                    self.recognizes_key(scope, node, earlier)
+                (Some(earlier_attempt), Idempotency::WithKey { scope, .. }) => {
+                    self.recognizes_key(scope, node, earlier_attempt)
                 }
                 _ => true,
             };
-        self.may_be_sent(request) && is_recognized()
+        self.may_be_sent(request) && key_is_recognized()
     }
 
-    /// Whether a node recognizes the idempotency key of an earlier attempt.
-    fn recognizes_key(&self, scope: DeduplicationScope, node: NodeIndex, earlier: PossibleExecution) -> bool {
-        let (node, earlier_node) = (&self.nodes[node], &self.nodes[earlier.node]);
+    /// Returns whether a node is within the scope in which the key of an earlier attempt is recognized.
+    fn recognizes_key(
+        &self,
+        scope: DeduplicationScope,
+        node: NodeIndex,
+        earlier_attempt: PossibleExecution,
+    ) -> bool {
+        let (node, earlier_node) = (&self.nodes[node], &self.nodes[earlier_attempt.node]);
         match scope {
             DeduplicationScope::AllNodes => true,
             DeduplicationScope::Zone => node.zone == earlier_node.zone,
@@ -123,7 +142,7 @@
         }
     }
 
-    /// Whether a client may repeat the request without harm if it gets no answer.
+    /// Returns whether it is safe for the client to repeat the request if the gateway does not serve it.
     pub(super) fn may_be_repeated_by_client(&self, request: &Request) -> bool {
         match self.settings.class(request.class).idempotency {
             Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::AllNodes, .. } => {
@@ -133,19 +152,20 @@
         }
     }
 
-    /// The block whose requests this one is ordered among, if its class requires order.
+    /// Returns the block of the request if its class requires requests for one block to run in order.
     pub(super) fn ordering_block(&self, request: &Request) -> Option<BlockId> {
         request.block.filter(|_| self.settings.class(request.class).ordered_by_key)
     }
 
-    /// Whether it is the request's turn among those for its block.
-    pub(super) fn is_next_for_its_block(&self, id: RequestId, request: &Request) -> bool {
+    /// Returns whether the order of requests for the block allows the request to be sent; always true if its
+    /// class requires no order.
+    pub(super) fn is_next_for_block(&self, id: RequestId, request: &Request) -> bool {
         let is_first_attempt = request.attempts == 0;
         self.ordering_block(request)
             .is_none_or(|block| self.ordering.admits(block, id, is_first_attempt, self.now_us))
     }
 
-    /// Holds back first attempts for the request's block for the gap that the settings give.
+    /// Delays first attempts for the request's block by the configured ordering gap.
     pub(super) fn delay_block(&mut self, id: RequestId) {
         let block = self.ordering_block(&self.requests[&id]);
         if let Some(block) = block {
