--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -113,7 +113,7 @@
             tightest_objective_us,
             max_interval_us: (fleet_service_us - tightest_objective_us).max(0.0),
             window_is_minimal: node.window.is_minimal() && node.service_time_per_unit_us > 0.0,
-            failing: node.health.is_failing(),
+            node_is_failing: node.health.is_failing(),
         });
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -261,7 +261,7 @@
     fn send(&mut self, id: RequestId, node_index: NodeIndex, actions: &mut Vec<Action>) {
         let request = &mut self.requests[&id];
         let node = &mut self.nodes[node_index];
-        node.slow_start = self.slow_start.bucket_after(node, request.units, self.now_us);
+        node.slow_start = self.slow_start.bucket_after_send(node, request.units, self.now_us);
         if request.attempts > 0 {
             self.retry_usage.record_retry(self.now_us);
         }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,14 +1,17 @@
-//! What a node that has just started may be sent by this gateway.
+//! Slow start: limits the units that this gateway sends to a node that is warming up.
 //!
-//! RULE slow start: a node that is warming up is overloaded by the sum of what all gateways send it. Each
-//! gateway sends from a token bucket for that node, in units. The bucket holds half of this gateway's even
-//! part of what the node is guaranteed to bear in a window, and fills at that rate.
+//! Platform rule (slow start): the units that all gateways together send to a node that is warming up must not
+//! overload it. Each gateway limits what it sends to the node by a token bucket, in units. The bucket holds half
+//! of this gateway's even share of the units that the node is guaranteed to sustain within the window, and
+//! refills by that amount per window. The share grows with the node's capacity.
 //!
-//! EXCEPTION: with many gateways no bucket would hold a complete request, and the node would idle. So a
-//! bucket holds at least a mean request, and fills at three quarters of the overloading rate, derived from
-//! what the shard served this gateway while its node was warm. Over all gateways these parts add up, whatever
-//! their number. Guards against any return of a node before many gateways; sends little where traffic has
-//! moved to another gateway.
+//! Deviation from the paper: with many gateways, no bucket would hold the tokens for a complete request, and the
+//! node would stay idle. Therefore a bucket holds at least a request of mean size. It refills at three quarters
+//! of the rate that would overload the node, if this is faster. This rate is derived from the rate at which the
+//! shard served this gateway while its node was warm, so that the rates of all gateways add up to three quarters
+//! of the overloading rate, whatever the number of gateways. This keeps a node from idling when it returns to service
+//! in a deployment with many gateways. The drawback: if traffic has moved to another gateway, that gateway sends little to
+//! the node.
 
 use super::event::ShardId;
 use super::node::NodeState;
@@ -16,25 +19,27 @@
 use super::volume::RATE_AVERAGING_TIME_US;
 use rustc_hash::FxHashMap;
 
-/// The part of the guaranteed units that gateways send, so that their sum stays below them.
+/// Fraction of the guaranteed units that all gateways together send, so that the total stays below the guarantee.
 const GUARANTEED_FRACTION: f64 = 0.5;
-/// The part of the overloading rate that gateways send.
+/// Fraction of the rate that would overload a node; the buckets of all gateways together refill at this fraction.
 const OVERLOAD_FRACTION: f64 = 0.75;
-/// A gateway has seen too little of a shard to know its rate before this part of the warm-up time.
+/// Minimum observation time of a shard from which its rate can be estimated, as a fraction of the warm-up time.
 const MIN_OBSERVED_FRACTION: f64 = 0.25;
-/// How much slower the best rate decays than the rate itself, as an exponent.
-const BEST_RATE_DECAY_EXPONENT: f64 = 0.125;
-/// The smallest initial capacity and the smallest rate that are divided by.
+/// Exponent applied to the decay of the current rate to get the slower decay of the highest rate.
+const HIGHEST_RATE_DECAY_EXPONENT: f64 = 0.125;
+/// Lower bound of the initial capacity when it is used as a divisor.
 const MIN_CAPACITY: f64 = 1e-3;
+/// Lower bound of the refill rate when it is used as a divisor, in units per second.
 const MIN_RATE: f64 = 1e-6;
-/// What a request may exceed the bucket by to allow for rounding, in units.
+/// Number of units by which a request may exceed the tokens in the bucket, to allow for rounding.
 const ROUNDING_UNITS: f64 = 1e-6;
 
-/// The token bucket of a warming-up node.
+/// The token bucket that limits what this gateway sends to one node while the node warms up.
 #[derive(Default)]
 pub(super) struct SlowStartBucket {
+    /// Tokens in units; negative after a request larger than the remaining tokens.
     tokens: f64,
-    /// When the tokens were last counted; a time in the future means that nothing may be sent before it.
+    /// Time at which `tokens` was last updated; if it is in the future, nothing may be sent before it.
     as_of_us: u64,
 }
 
@@ -44,24 +49,27 @@
     }
 }
 
-/// The state of a token bucket now.
+/// The state of a token bucket at the current time.
 struct BucketLevel {
     tokens: f64,
-    /// This gateway's share at the node's present capacity, in units.
+    /// This gateway's share of the units that the node may be sent within the window, at the node's current
+    /// capacity.
     share: f64,
-    /// Units per second that flow into it.
+    /// Refill rate in units per second.
     rate: f64,
 }
 
-/// Estimates a rate over the time that a node takes to warm up: the past decays over that time, the best rate
-/// slower, as a node may have been slow long before it failed.
+/// Estimates the rate of units of a shard by exponential decay over the warm-up time of a node. The highest rate
+/// decays more slowly, because a node may have been slow for a long time before it failed.
 #[derive(Clone, Copy, Default)]
 struct RateEstimator {
+    /// Decayed sum of the recorded units.
     units: f64,
-    /// Over how many seconds the units are counted, and until when.
+    /// Time over which `units` was recorded, in seconds, decayed in the same way.
     observed_s: f64,
     updated_at_us: u64,
-    best_rate: f64,
+    /// Highest rate so far, slowly decayed, in units per second.
+    highest_rate: f64,
 }
 
 impl RateEstimator {
@@ -75,21 +83,21 @@
         self.units = self.units * decay + units;
         self.observed_s = self.observed_s * decay + averaging_time_s * (1.0 - decay);
         let rate = self.units / self.observed_s.max(averaging_time_s * MIN_OBSERVED_FRACTION);
-        self.best_rate = (self.best_rate * decay.powf(BEST_RATE_DECAY_EXPONENT)).max(rate);
+        self.highest_rate = (self.highest_rate * decay.powf(HIGHEST_RATE_DECAY_EXPONENT)).max(rate);
         self.updated_at_us = at_us.max(self.updated_at_us);
     }
 }
 
-/// What warming-up nodes may be sent, and the rates that it is derived from.
+/// The slow-start policy, and the rates per shard from which the refill rates of the buckets are derived.
 pub(super) struct SlowStart {
     policy: Option<SlowStartPolicy>,
     gateway_count: usize,
     mean_request_units: f64,
     gateway_started_at_us: u64,
-    /// What each shard served this gateway while its node was warm.
-    served: FxHashMap<ShardId, RateEstimator>,
-    /// What was requested of each shard through this gateway within the reservations.
-    requested: FxHashMap<ShardId, RateEstimator>,
+    /// The rate at which each shard served this gateway while its node was warm.
+    served_rates: FxHashMap<ShardId, RateEstimator>,
+    /// The rate of requests to each shard through this gateway within the volumes' reservations.
+    requested_rates: FxHashMap<ShardId, RateEstimator>,
 }
 
 impl SlowStart {
@@ -99,17 +107,19 @@
             gateway_count: settings.gateway_count,
             mean_request_units: settings.mean_request_units,
             gateway_started_at_us: now_us,
-            served: FxHashMap::default(),
-            requested: FxHashMap::default(),
+            served_rates: FxHashMap::default(),
+            requested_rates: FxHashMap::default(),
         }
     }
 
-    /// The window over which a warming-up node's load is summed, in microseconds; none without a policy.
+    /// Returns the window over which the load of a node that is warming up is summed, in microseconds; `None` if
+    /// there is no slow-start policy.
     pub(super) fn window_us(&self) -> Option<u64> {
         self.policy.map(|policy| policy.window_us)
     }
 
-    /// The fraction of its capacity that a node has at least, by the time since its start.
+    /// Returns the least fraction of its full capacity that a node has, from 0 to 1, according to the time since
+    /// its start; 1 without a slow-start policy or if the node started long ago.
     pub(super) fn capacity(&self, node: &NodeState, now_us: u64) -> f64 {
         let policy = self.policy.filter(|policy| policy.warm_up_us > 0);
         let Some((policy, started_at_us)) = policy.zip(node.started_at_us) else { return 1.0 };
@@ -117,85 +127,92 @@
         (policy.initial_capacity + (1.0 - policy.initial_capacity) * age).min(1.0)
     }
 
-    /// Whether a node has its full capacity.
+    /// Returns whether a node has its full capacity.
     pub(super) fn is_warm(&self, node: &NodeState, now_us: u64) -> bool {
         self.capacity(node, now_us) >= 1.0
     }
 
-    fn level(&self, policy: &SlowStartPolicy, node: &NodeState, now_us: u64) -> BucketLevel {
+    fn bucket_level(&self, policy: &SlowStartPolicy, node: &NodeState, now_us: u64) -> BucketLevel {
         let capacity = self.capacity(node, now_us);
         let share = self.initial_share() * capacity / policy.initial_capacity.max(MIN_CAPACITY);
-        let served = self.shard_rate(node.shard) * capacity;
+        let served_rate = self.shard_rate(node.shard) * capacity;
         let share_rate = share / policy.window_us.max(1) as f64 * 1e6;
-        let rate = (OVERLOAD_FRACTION * policy.overload_factor * served).max(share_rate);
-        let filled = rate * now_us.saturating_sub(node.slow_start.as_of_us) as f64 / 1e6;
-        let tokens = (node.slow_start.tokens + filled).min(share.max(self.mean_request_units));
+        let rate = (OVERLOAD_FRACTION * policy.overload_factor * served_rate).max(share_rate);
+        let added_tokens = rate * now_us.saturating_sub(node.slow_start.as_of_us) as f64 / 1e6;
+        let tokens = (node.slow_start.tokens + added_tokens).min(share.max(self.mean_request_units));
         BucketLevel { tokens, share, rate }
     }
 
-    /// How long until a warming-up node may be sent this many units, in microseconds.
+    /// Returns the time until a node may be sent a request of this many units, in microseconds; 0 for a node that
+    /// is warm. A request larger than this gateway's share only waits until the bucket holds the share.
     pub(super) fn wait_us(&self, node: &NodeState, units: f64, now_us: u64) -> u64 {
         let Some((policy, started_at_us)) = self.policy.zip(node.started_at_us) else { return 0 };
         if self.is_warm(node, now_us) {
             return 0;
         }
-        let level = self.level(&policy, node, now_us);
-        let missing = (units.min(level.share) - ROUNDING_UNITS - level.tokens).max(0.0);
-        let wait_us = (missing / level.rate.max(MIN_RATE) * 1e6) as u64;
+        let level = self.bucket_level(&policy, node, now_us);
+        let missing_tokens = (units.min(level.share) - ROUNDING_UNITS - level.tokens).max(0.0);
+        let wait_us = (missing_tokens / level.rate.max(MIN_RATE) * 1e6) as u64;
         let wait_us = node.slow_start.as_of_us.saturating_sub(now_us) + wait_us;
         wait_us.min(started_at_us + policy.warm_up_us - now_us)
     }
 
-    /// What is left in a node's bucket after it is sent this many units. Kept for every node, used while one
-    /// warms up.
-    pub(super) fn bucket_after(&self, node: &NodeState, units: f64, now_us: u64) -> SlowStartBucket {
-        let tokens = self.policy.map_or(0.0, |policy| self.level(&policy, node, now_us).tokens);
+    /// Returns the bucket of a node after the node is sent this many units. The bucket is maintained for every
+    /// node, but only used while the node warms up.
+    pub(super) fn bucket_after_send(&self, node: &NodeState, units: f64, now_us: u64) -> SlowStartBucket {
+        let tokens = self.policy.map_or(0.0, |policy| self.bucket_level(&policy, node, now_us).tokens);
         SlowStartBucket { tokens: tokens - units, as_of_us: now_us.max(node.slow_start.as_of_us) }
     }
 
-    /// This gateway's share when a node starts: half of its even part of what the node is guaranteed to bear,
-    /// in units.
+    /// Returns this gateway's share when a node starts, in units: half of its even share of the units that the
+    /// node is guaranteed to sustain within the window.
     pub(super) fn initial_share(&self) -> f64 {
         let guaranteed = self.policy.map_or(0.0, |policy| policy.guaranteed_units);
         GUARANTEED_FRACTION * guaranteed / self.gateway_count.max(1) as f64
     }
 
-    /// The time that a node takes to warm up, in seconds.
+    /// Returns the time that a node takes to warm up, in seconds; without a slow-start policy, the time over which
+    /// volumes average their rates.
     fn warm_up_time_s(&self) -> f64 {
         self.policy.map_or(RATE_AVERAGING_TIME_US, |policy| policy.warm_up_us.max(1) as f64) / 1e6
     }
 
-    /// Records what a shard served this gateway while its node was warm.
+    /// Records units that a shard served this gateway while its node was warm.
     pub(super) fn record_served(&mut self, shard: ShardId, units: f64, at_us: u64) {
         let averaging_time_s = self.warm_up_time_s();
-        let unseen = RateEstimator::starting_at(self.gateway_started_at_us);
-        self.served.entry(shard).or_insert(unseen).record(units, at_us, averaging_time_s);
+        let initial = RateEstimator::starting_at(self.gateway_started_at_us);
+        self.served_rates.entry(shard).or_insert(initial).record(units, at_us, averaging_time_s);
     }
 
-    /// Ages the estimate of what a shard served up to the start of its new node.
+    /// Decays the estimated rate at which a shard served this gateway, up to the start of its new node.
     pub(super) fn decay_served_rate(&mut self, shard: ShardId, until_us: u64) {
         self.record_served(shard, 0.0, until_us);
     }
 
-    /// Records what was requested of a shard through this gateway within the reservations.
+    /// Records units that were requested of a shard through this gateway within the volumes' reservations.
     pub(super) fn record_requested(&mut self, shard: ShardId, units: f64, at_us: u64) {
         let averaging_time_s = self.warm_up_time_s();
-        let unseen = RateEstimator::starting_at(self.gateway_started_at_us);
-        self.requested.entry(shard).or_insert(unseen).record(units, at_us, averaging_time_s);
+        let initial = RateEstimator::starting_at(self.gateway_started_at_us);
+        self.requested_rates.entry(shard).or_insert(initial).record(units, at_us, averaging_time_s);
     }
 
-    /// The rate at which a shard served this gateway while its node was warm, in units per second.
+    /// Returns the highest recent rate at which a shard served this gateway while its node was warm, in units per
+    /// second.
     ///
-    /// EXCEPTION: one of many gateways that started too shortly before the node to have seen that uses the
-    /// rate of requests within the reservations instead: over all gateways these are a part of what the node
-    /// can do. Guards against gateways that restart during a release, which would send a warming-up node next
-    /// to nothing until it is warm. May send more than the node is guaranteed to bear where reservations
-    /// exceed what nodes can do.
+    /// Deviation from the paper: a gateway may have started too shortly before the node to have observed this
+    /// rate. If there are many gateways, it then uses the rate of requests within the reservations, if that is
+    /// higher: over all gateways, these requests amount to a part of the node's full capacity. Without this, a
+    /// gateway that restarts during a release would send almost nothing to a node until it is warm. If the
+    /// reservations exceed the capacity of the nodes, the gateways may send a node more than it is guaranteed to
+    /// sustain.
     fn shard_rate(&self, shard: ShardId) -> f64 {
-        let served = self.served.get(&shard).copied().unwrap_or_default();
-        let has_seen_little = served.observed_s < self.warm_up_time_s() * MIN_OBSERVED_FRACTION;
-        let is_one_of_many = self.initial_share() < self.mean_request_units;
-        let requested = self.requested.get(&shard).filter(|_| has_seen_little && is_one_of_many);
-        served.best_rate.max(requested.map_or(0.0, |requested| requested.best_rate))
+        let served = self.served_rates.get(&shard).copied().unwrap_or_default();
+        let observation_is_too_short = served.observed_s < self.warm_up_time_s() * MIN_OBSERVED_FRACTION;
+        let share_is_below_mean_request = self.initial_share() < self.mean_request_units;
+        let requested = self
+            .requested_rates
+            .get(&shard)
+            .filter(|_| observation_is_too_short && share_is_below_mean_request);
+        served.highest_rate.max(requested.map_or(0.0, |requested| requested.highest_rate))
     }
 }
