--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -95,8 +95,8 @@
         // Without the factor, the service time of a large request would be mistaken for queueing.
         let excess_latency_us =
             (report.latency_us as f64 - 2.0 * node.service_time_per_unit_us * units).max(0.0);
-        // The latency of a cancelled or timed-out attempt is only a lower bound. It is used only if this bound
-        // already indicates an overload.
+        // The latency of a cancelled or timed-out attempt is only a lower bound. It is used only if this
+        // bound already indicates an overload.
         let is_overload_bound =
             matches!(report.outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut)
                 && excess_latency_us > OVERLOAD_OBJECTIVE_FRACTION * tightest_objective_us;
@@ -124,8 +124,8 @@
             (self.rejection_backoff(), self.connection_backoff(), self.timeout_backoff());
         let units = self.requests[&report.request].units;
         let node = &mut self.nodes[attempt.node];
-        // A timeout or a connection failure counts as a failure of the node only if no attempt at the node has
-        // succeeded since this one was sent.
+        // A timeout or a connection failure counts as a failure of the node only if no attempt at the node
+        // has succeeded since this one was sent.
         let succeeded_since = node.successes != attempt.node_successes;
         match report.outcome {
             AttemptOutcome::Succeeded => self.record_success(report, attempt),
@@ -138,8 +138,8 @@
                 node.record_failure(now_us, connection);
             }
             // An attempt that times out at its objective may have had very little time. The node counts as
-            // failing only if the durations of the timeouts since the last success add up to more than the time
-            // after which an attempt is presumed lost.
+            // failing only if the durations of the timeouts since the last success add up to more than the
+            // time after which an attempt is presumed lost.
             AttemptOutcome::TimedOut if !succeeded_since => {
                 let total_timed_out_us = node.health.record_timeout(report.latency_us);
                 if total_timed_out_us > LOST_AFTER_FACTOR * node.expected_latency_us(units) {
@@ -183,9 +183,9 @@
         self.settings.connect_timeout_us.max(self.settings.batch_interval_us)
     }
 
-    /// Returns the base of the backoffs after rejections and connection failures, in microseconds: the connect
-    /// timeout, or a fraction of the tightest latency objective if that is shorter; at least one batch
-    /// interval.
+    /// Returns the base of the backoffs after rejections and connection failures, in microseconds: the
+    /// connect timeout, or a fraction of the tightest latency objective if that is shorter; at least one
+    /// batch interval.
     fn base_backoff_us(&self) -> u64 {
         let objective_us = self.tightest_objective_us as u64;
         let base_us = self.effective_connect_timeout_us().min(objective_us / BASE_BACKOFF_OBJECTIVE_DIVISOR);
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -15,17 +15,17 @@
 /// Maximum ratio of the recent mean latency per unit to the median at which the window grows; see
 /// `docs/design.md`, "Constants".
 const GROWTH_RATIO: f64 = 1.5;
-/// Ratio of the recent mean latency per unit to the median above which the window halves; see `docs/design.md`,
-/// "Constants".
+/// Ratio of the recent mean latency per unit to the median above which the window halves; see
+/// `docs/design.md`, "Constants".
 const HALVING_RATIO: f64 = 2.0;
 /// Number of latest successes over which the median latency per unit is computed.
 const MAX_SAMPLES: usize = 64;
 /// Weight of the latest success in an exponential moving average.
 pub(super) const AVERAGING_WEIGHT: f64 = 0.125;
 /// The service time per unit is the latency per unit that one in this many samples stays below.
-const FASTEST_FRACTION: usize = 8;
-/// Queueing delay above which a node counts as overloaded, as a fraction of the tightest latency objective. It is
-/// also the target delay of pacing.
+const FASTEST_SAMPLES_DIVISOR: usize = 8;
+/// Queueing delay above which a node counts as overloaded, as a fraction of the tightest latency objective.
+/// It is also the target delay of pacing.
 pub(super) const OVERLOAD_OBJECTIVE_FRACTION: f64 = 0.5;
 /// Pacing ends when the interval falls below this fraction of the tightest latency objective.
 const MIN_PACING_OBJECTIVE_FRACTION: f64 = 1.0 / 16.0;
@@ -107,22 +107,22 @@
         now_us >= self.adjusted_at_us + round_trip_us as u64
     }
 
-    /// Starts an adjustment: updates the median, and returns the service time in microseconds per unit, which is
-    /// the upper bound of the fastest eighth of the samples.
+    /// Starts an adjustment: updates the median, and returns the service time in microseconds per unit,
+    /// which is the upper bound of the fastest eighth of the samples.
     pub(super) fn update_median(&mut self, now_us: u64) -> f64 {
         self.adjusted_at_us = now_us;
         let mut sorted: Vec<f64> = self.samples.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         self.median = sorted[sorted.len() / 2];
-        sorted[sorted.len() / FASTEST_FRACTION]
+        sorted[sorted.len() / FASTEST_SAMPLES_DIVISOR]
     }
 
     /// Adjusts the window to the latest latencies.
     ///
     /// Deviation from the paper: if the expected latency of an attempt is too high for the tightest latency
-    /// objective, the queue of the node is filled by several gateways and served in order of arrival, so that the
-    /// order in which this gateway ranks requests has no effect. The window then shrinks by one per adjustment,
-    /// down to one.
+    /// objective, the queue of the node is filled by several gateways and served in order of arrival, so
+    /// that the order in which this gateway ranks requests has no effect. The window then shrinks by one
+    /// per adjustment, down to one.
     pub(super) fn adjust(&mut self, exceeds_objective_fraction: bool, in_flight: u32) {
         // `in_flight` no longer includes the attempt that has just ended.
         let is_nearly_full = f64::from(in_flight) + 2.0 > self.limit;
@@ -164,18 +164,18 @@
 impl Pacing {
     /// Adjusts the pacing interval to the latest queueing delay.
     ///
-    /// Deviation from the paper: if attempts queue at a node for more than half the tightest latency objective
-    /// although this gateway has only one in flight, many gateways share the node's queue, which has no
-    /// priorities. Attempts are then paced. Each adjustment multiplies the interval by the ratio of the measured
-    /// to the acceptable queueing delay. If the node's previous attempts failed, the interval is first raised to
-    /// at least the measured delay. This guards against surges and slow nodes in deployments with many gateways.
-    /// It may leave a node idle that only paused.
+    /// Deviation from the paper: if attempts queue at a node for more than half the tightest latency
+    /// objective although this gateway has only one in flight, many gateways share the node's queue, which
+    /// has no priorities. Attempts are then paced. Each adjustment multiplies the interval by the ratio of
+    /// the measured to the acceptable queueing delay. If the node's previous attempts failed, the interval
+    /// is first raised to at least the measured delay. This guards against surges and slow nodes in
+    /// deployments with many gateways. It may leave a node idle that only paused.
     pub(super) fn adjust(&mut self, signal: &PacingSignal) {
         let (delay_us, objective_us) = (signal.excess_latency_us, signal.tightest_objective_us);
         let ratio = delay_us / (OVERLOAD_OBJECTIVE_FRACTION * objective_us);
         if ratio > 1.0 && signal.window_is_minimal {
-            let excess_us = delay_us - OVERLOAD_OBJECTIVE_FRACTION * objective_us;
-            let current_us = if self.interval_us > 0.0 { self.interval_us } else { excess_us };
+            let excess_delay_us = delay_us - OVERLOAD_OBJECTIVE_FRACTION * objective_us;
+            let current_us = if self.interval_us > 0.0 { self.interval_us } else { excess_delay_us };
             self.interval_us = if signal.node_is_failing { current_us.max(delay_us) } else { current_us };
         }
         let next_us = self.interval_us * ratio.clamp(MIN_PACING_RATIO, MAX_PACING_RATIO);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -15,7 +15,8 @@
 
 /// The priority order in which queued requests are considered for a free slot, highest first.
 ///
-/// A node is backlogged while a latency-bound request in the queue of its shard is past its queueing deadline.
+/// A node is backlogged while a latency-bound request in the queue of its shard is past its queueing
+/// deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum DispatchRank {
     /// Latency-bound requests that no later rank applies to. If the node is backlogged, this rank includes
@@ -91,8 +92,8 @@
     fn select_next(&mut self, node: NodeIndex, queue: &[RequestId]) -> Option<Selection> {
         // Deviation from the paper: the node is backlogged if a latency-bound request is past its queueing
         // deadline. Earliest-deadline-first order would then serve requests that no longer earn their full
-        // priority weight. Requests beyond their volume's reservation are therefore ranked with the background
-        // requests, and requests that would miss their objective are ranked last.
+        // priority weight. Requests beyond their volume's reservation are therefore ranked with the
+        // background requests, and requests that would miss their objective are ranked last.
         let is_backlogged = queue.iter().any(|id| {
             let request = &self.requests[id];
             !self.is_background(request) && request.due_at_us < self.now_us
@@ -174,8 +175,8 @@
         request.class == self.background_class
     }
 
-    /// Returns whether a request is past its queueing deadline and less time than the tightest latency objective
-    /// of all classes remains until its own objective.
+    /// Returns whether a request is past its queueing deadline and less time than the tightest latency
+    /// objective of all classes remains until its own objective.
     fn is_urgent(&self, request: &Request) -> bool {
         let urgent_until_us = self.now_us + self.tightest_objective_us as u64;
         request.due_at_us < self.now_us && request.objective_at_us < urgent_until_us
@@ -186,8 +187,8 @@
         self.now_us + node.expected_latency_us(request.units) as u64 > request.objective_at_us
     }
 
-    /// Returns the priority that this request has if it is sent to this node now, as a fraction of the highest
-    /// possible priority.
+    /// Returns the priority that this request has if it is sent to this node now, as a fraction of the
+    /// highest possible priority.
     fn priority(&self, request: &Request, node: &NodeState) -> f64 {
         let class = self.settings.class(request.class);
         let plan = self.settings.plan(request.plan);
@@ -197,8 +198,9 @@
         class.priority_weight * plan.priority_factor / self.max_priority * unreserved_factor * late_factor
     }
 
-    /// Returns how long pacing, backoff and slow start delay this request at a node, in microseconds. The gap at
-    /// a paced node is divided by the request's priority, so that requests of lower priority wait longer.
+    /// Returns how long pacing, backoff and slow start delay this request at a node, in microseconds. The
+    /// gap at a paced node is divided by the request's priority, so that requests of lower priority wait
+    /// longer.
     pub(super) fn node_wait_us(&self, node: &NodeState, request: &Request) -> u64 {
         let pacing_gap_us = if node.pacing.is_active() {
             (node.pacing.gap_us() / self.priority(request, node)).min(MAX_PACING_GAP_US) as u64
@@ -219,8 +221,8 @@
         accepting_nodes.map(|node| self.node_wait_us(node, request)).min()
     }
 
-    /// Returns whether a request may be sent to this node now, according to the node's delays, the idempotency
-    /// and ordering rules, the volume's rate limit and the retry budget.
+    /// Returns whether a request may be sent to this node now, according to the node's delays, the
+    /// idempotency and ordering rules, the volume's rate limit and the retry budget.
     fn may_be_sent_now(&mut self, id: RequestId, node: NodeIndex) -> bool {
         let request = &self.requests[&id];
         if self.node_wait_us(&self.nodes[node], request) > 0 || !self.may_be_sent_to(request, node) {
@@ -295,8 +297,8 @@
     ///
     /// Deviation from the paper: if nodes support cancellation, an attempt at an overloaded node (one whose
     /// window is at its minimum) times out at the request's latency objective. Non-idempotent requests are
-    /// excluded, because their clients may be unable to retry. Requests with less time left than an attempt is
-    /// expected to take are excluded too, because their timeout would only waste the node's work.
+    /// excluded, because their clients may be unable to retry. Requests with less time left than an attempt
+    /// is expected to take are excluded too, because their timeout would only waste the node's work.
     fn attempt_timeout_us(&self, id: RequestId, node: NodeIndex) -> Option<u64> {
         let (request, node) = (&self.requests[&id], &self.nodes[node]);
         let idempotency = self.settings.class(request.class).idempotency;
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -11,8 +11,8 @@
 const RETRY_AFTER_SPREAD_DIVISOR: u64 = 4;
 
 impl Scheduler {
-    /// Returns the interval between checks for requests to expire, in microseconds. It is half the grace period
-    /// for final answers, so that they are sent in time, but at least the batch interval.
+    /// Returns the interval between checks for requests to expire, in microseconds. It is half the grace
+    /// period for final answers, so that they are sent in time, but at least the batch interval.
     pub(super) fn expiry_interval_us(&self) -> u64 {
         (self.settings.answer_grace_us / 2).max(self.settings.batch_interval_us).max(MIN_EXPIRY_INTERVAL_US)
     }
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Returns whether a queued request should be answered instead of sent, because it cannot be sent in time,
-    /// a late answer has too little value, or the idempotency rule forbids sending it.
+    /// Returns whether a queued request should be answered instead of sent, because it cannot be sent in
+    /// time, a late answer has too little value, or the idempotency rule forbids sending it.
     fn cannot_be_served(&self, request: &Request) -> bool {
         if !request.is_queued() {
             return false;
@@ -51,12 +51,12 @@
             || self.would_wait_past_expiry(request)
     }
 
-    /// Returns whether a request was never sent although it is past its latency objective and half of its time
-    /// until expiry is over.
+    /// Returns whether a request was never sent although it is past its latency objective and half of its
+    /// time until expiry is over.
     ///
-    /// Deviation from the paper: such a request is rejected. The client still has time to retry, and the cost of
-    /// rejecting the request later would exceed the value of a late answer. This keeps queues of late requests
-    /// from outliving a surge, at the price of fewer late answers.
+    /// Deviation from the paper: such a request is rejected. The client still has time to retry, and the
+    /// cost of rejecting the request later would exceed the value of a late answer. This keeps queues of
+    /// late requests from outliving a surge, at the price of fewer late answers.
     fn is_unsent_past_half_its_timeout(&self, request: &Request) -> bool {
         let half_timeout_us = request.expires_at_us.saturating_sub(request.arrived_at_us) / 2;
         let rejected_at_us = (request.arrived_at_us + half_timeout_us).max(request.objective_at_us);
@@ -101,8 +101,8 @@
         wait_us.max(self.rate_limit_wait_us(request))
     }
 
-    /// Returns the time that the node of the request's shard is expected to take for the requests queued for the
-    /// shard, in microseconds; 0 if no node of the shard accepts requests.
+    /// Returns the time that the node of the request's shard is expected to take for the requests queued
+    /// for the shard, in microseconds; 0 if no node of the shard accepts requests.
     fn queue_wait_us(&self, request: &Request) -> u64 {
         let shard = request.shard();
         let queued = shard.and_then(|shard| self.queues.get(&shard)).map_or(0, Vec::len) as f64;
@@ -111,8 +111,8 @@
         node.map_or(0.0, |node| queued * node.expected_latency_us(mean_units) / node.window.limit()) as u64
     }
 
-    /// Returns the time until the rate limit of the request's volume admits it, in microseconds; 0 if the request
-    /// is already charged to the limit or its plan has none.
+    /// Returns the time until the rate limit of the request's volume admits it, in microseconds; 0 if the
+    /// request is already charged to the limit or its plan has none.
     fn rate_limit_wait_us(&self, request: &Request) -> u64 {
         let volume = self.volumes.get(&request.volume).filter(|_| request.owes_rate_limit());
         let rate_limit = self.settings.plan(request.plan).rate_limit;
@@ -120,8 +120,8 @@
         volume.zip(rate_limit).map_or(0, |(volume, limit)| volume.rate_limit_wait_us(&limit, 0.0))
     }
 
-    /// Returns the `Retry-After` for this wait, in microseconds. A random time is added so that the clients do
-    /// not all retry at once. `None` if there is no wait or clients do not honor `Retry-After`.
+    /// Returns the `Retry-After` for this wait, in microseconds. A random time is added so that the clients
+    /// do not all retry at once. `None` if there is no wait or clients do not honor `Retry-After`.
     pub(super) fn retry_after_us(&mut self, wait_us: u64) -> Option<u64> {
         let max_retry_after_us = self.settings.max_retry_after_us.unwrap_or(0);
         let spread_us = self.rng.u64(0..=max_retry_after_us.min(wait_us) / RETRY_AFTER_SPREAD_DIVISOR);
@@ -129,8 +129,8 @@
         (retry_after_us > 0).then_some(retry_after_us)
     }
 
-    /// Marks a request as answered, so that no further attempt is sent, and removes it once it has no attempt in
-    /// flight.
+    /// Marks a request as answered, so that no further attempt is sent, and removes it once it has no
+    /// attempt in flight.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let was_unanswered = request.mark_answered();
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -43,23 +43,23 @@
         self.backoff_until_us
     }
 
-    /// Records that an attempt succeeded: resets the failure count and the total duration of timeouts. A backoff
-    /// in progress still runs to its end.
+    /// Records that an attempt succeeded: resets the failure count and the total duration of timeouts. A
+    /// backoff in progress still runs to its end.
     pub(super) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.total_timed_out_us = 0.0;
     }
 
-    /// Records that an attempt timed out after `latency_us`. Returns the total duration of the attempts that have
-    /// timed out since the last success, in microseconds.
+    /// Records that an attempt timed out after `latency_us`. Returns the total duration of the attempts
+    /// that have timed out since the last success, in microseconds.
     pub(super) fn record_timeout(&mut self, latency_us: u64) -> f64 {
         self.total_timed_out_us += latency_us as f64;
         self.total_timed_out_us
     }
 
     /// Records a failure, which starts a backoff. The first backoffs are short, because a single broken
-    /// connection says little about the health of its node, and a backoff as long as the latency objective would
-    /// make every queued request miss it.
+    /// connection says little about the health of its node, and a backoff as long as the latency objective
+    /// would make every queued request miss it.
     pub(super) fn record_failure(&mut self, now_us: u64, backoff: Backoff) {
         self.consecutive_failures += 1;
         let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
@@ -68,14 +68,15 @@
 }
 
 impl Scheduler {
-    /// Marks attempts that are presumed lost, and updates the age of the oldest attempt in flight at each node.
+    /// Marks attempts that are presumed lost, and updates the age of the oldest attempt in flight at each
+    /// node.
     ///
-    /// Deviation from the paper: an attempt that takes several times its expected latency is presumed lost if at
-    /// least two attempts at its node have succeeded since it was sent. An attempt that is the only one
-    /// in flight at its node, apart from lost ones, is presumed lost after twice that time unless the node is
-    /// failing. Lost attempts no longer occupy the concurrency window. This guards against responses lost in the
-    /// network, hung workers, and stalled or partitioned nodes. It may overload a node that only pauses, or at
-    /// which a few requests cost far more than their size suggests.
+    /// Deviation from the paper: an attempt that takes several times its expected latency is presumed lost
+    /// if at least two attempts at its node have succeeded since it was sent. An attempt that is the only
+    /// one in flight at its node, apart from lost ones, is presumed lost after twice that time unless the
+    /// node is failing. Lost attempts no longer occupy the concurrency window. This guards against
+    /// responses lost in the network, hung workers, and stalled or partitioned nodes. It may overload a
+    /// node that only pauses, or at which a few requests cost far more than their size suggests.
     pub(super) fn mark_lost_attempts(&mut self) {
         for node in &mut self.nodes {
             node.health.oldest_in_flight_us = 0.0;
--- a/src/scheduler/latency_model.rs
+++ b/src/scheduler/latency_model.rs
@@ -1,48 +1,55 @@
-//! The latency model of a request class: how long its requests may be queued.
+//! The latency model of a request class: estimates how long the requests of the class may be queued.
 //!
-//! From the paper: a generalized exponential distribution F(x) = (1 - e^(-x/scale))^shape is fitted to recent
-//! latencies. The disengagement curve, summed over that distribution, tells which mean latency keeps the mean
-//! disengagement at its target; what that leaves beyond the shortest latency is the time that a request may
-//! be queued.
+//! As in the paper, a generalized exponential distribution F(x) = (1 - e^(-x/scale))^shape is fitted to
+//! recent latencies. Averaging the disengagement curve over this distribution gives the mean latency at
+//! which the mean disengagement is on its target. That mean latency minus the shortest recent latency is
+//! the time for which a request may be queued.
 
 use super::settings::RequestClass;
 use std::collections::VecDeque;
 
-/// The ratios of the measured to the targeted disengagement between which a budget is right: zeta and theta
-/// of the paper, with the values in `docs/design.md`, "Constants".
+/// Ratio of the mean disengagement to its target below which a class has slack: zeta of the paper. For the
+/// value, see `docs/design.md`, "Constants".
 pub(super) const MIN_TARGET_RATIO: f64 = 0.95;
+/// Ratio of the mean disengagement to its target above which a class misses its target: theta of the paper.
+/// For the value, see `docs/design.md`, "Constants".
 pub(super) const MAX_TARGET_RATIO: f64 = 0.98;
-/// The targeted mean of the disengagement curve; `docs/design.md`, "Constants".
+/// Target of the mean disengagement, which ranges from 0 to 1; see `docs/design.md`, "Constants".
 const TARGET_DISENGAGEMENT: f64 = 0.02;
-/// The window of completions that a class is fitted to: at most so many, and at most so old;
-/// `docs/design.md`, "Constants".
+/// Maximum number of completions to which the model of a class is fitted; see `docs/design.md`, "Constants".
 const MAX_COMPLETIONS: usize = 256;
+/// Age after which completions are dropped, as long as more than [`MIN_RETAINED_COMPLETIONS`] remain; see
+/// `docs/design.md`, "Constants".
 const MAX_COMPLETION_AGE_US: u64 = 5_000_000;
-/// So many completions are kept whatever their age, as one of many gateways completes few a second.
-const MIN_KEPT_COMPLETIONS: usize = 50;
-/// With fewer completions, an exponential distribution is assumed.
+/// Number of latest completions that are retained regardless of their age, because each gateway of a large
+/// fleet completes only a few requests per second.
+const MIN_RETAINED_COMPLETIONS: usize = 50;
+/// Minimum number of completions for a fit; with fewer, an exponential distribution is assumed.
 const MIN_FITTED_COMPLETIONS: usize = 16;
-/// Steps of the bisection for the shape: enough to narrow the range of its logarithm to the precision of
-/// `f64`.
+/// Number of steps of the bisection for the shape; enough to narrow the range of the shape's logarithm to the
+/// precision of `f64`.
 const SHAPE_BISECTIONS: usize = 60;
-/// The range of the shape's logarithm: from nearly constant to extremely dispersed latencies.
+/// Lower bound of the natural logarithm of the shape, for extremely dispersed latencies.
 const MIN_LN_SHAPE: f64 = -12.0;
+/// Upper bound of the natural logarithm of the shape, for nearly constant latencies.
 const MAX_LN_SHAPE: f64 = 120.0;
-/// The bisection for the mean ends when its interval is so small a part of half the deadline.
+/// Interval length at which the bisection for the mean ends, as a fraction of half the deadline.
 const MEAN_PRECISION: f64 = 1.0 / 4096.0;
-/// The disengagement curve between the objective and the deadline; `docs/design.md`, "Constants".
+/// Value of the disengagement curve between the latency objective and the deadline; see `docs/design.md`,
+/// "Constants".
 const LATE_DISENGAGEMENT: f64 = 0.5;
 
-/// The digamma and the trigamma function of an argument above zero.
+/// The values of the digamma and the trigamma function for one argument above zero.
 #[derive(Clone, Copy, Debug)]
 pub struct Polygamma {
-    /// The digamma function.
+    /// First derivative of the logarithm of the gamma function.
     pub digamma: f64,
-    /// The trigamma function.
+    /// Second derivative of the logarithm of the gamma function.
     pub trigamma: f64,
 }
 
-/// Evaluates the digamma and trigamma functions for `x > 0`: recurrence up to 8, then the asymptotic series.
+/// Evaluates the digamma and trigamma functions for `x > 0`, by the recurrence relation up to 8 and the
+/// asymptotic series beyond it.
 pub fn digamma_and_trigamma(mut x: f64) -> Polygamma {
     let (mut digamma, mut trigamma) = (0.0, 0.0);
     while x < 8.0 {
@@ -56,17 +63,18 @@
     Polygamma { digamma, trigamma }
 }
 
-/// A generalized exponential distribution at scale one.
+/// A generalized exponential distribution, F(x) = (1 - e^(-x))^shape, with its scale factor left open.
 #[derive(Clone, Copy, Debug)]
 pub struct GeneralizedExponential {
-    /// The shape.
+    /// Shape exponent, above 0; 1 for the exponential distribution.
     pub shape: f64,
-    /// The mean at scale one.
+    /// Mean of the distribution at scale 1; the mean is proportional to the scale.
     pub unit_mean: f64,
 }
 
-/// The generalized exponential distribution with this coefficient of variation. A coefficient beyond what the
-/// distribution can take (0, huge, not a number) is read as the nearest that it can.
+/// Returns the generalized exponential distribution with this coefficient of variation, within the range of
+/// shapes that the bisection covers. A coefficient outside that range (0 or too large) gives the nearest
+/// shape, and NaN gives the smallest shape.
 pub fn fit_generalized_exponential(coefficient_of_variation: f64) -> GeneralizedExponential {
     let at_one = digamma_and_trigamma(1.0);
     let unit_mean = |ln_shape: f64| digamma_and_trigamma(ln_shape.exp() + 1.0).digamma - at_one.digamma;
@@ -87,8 +95,9 @@
     GeneralizedExponential { shape: low.exp(), unit_mean: unit_mean(low) }
 }
 
-/// The disengagement curve averaged over a distribution with this mean: zero within the objective, half up to
-/// the deadline, one beyond it. Times are in any one unit.
+/// Returns the mean disengagement, from 0 to 1, of latencies with this distribution and mean. The
+/// disengagement curve is 0 up to the objective, 0.5 up to the deadline and 1 beyond it. All times must
+/// have the same unit.
 pub fn mean_disengagement(
     distribution: GeneralizedExponential,
     mean: f64,
@@ -96,12 +105,14 @@
     deadline: f64,
 ) -> f64 {
     let scale = (mean / distribution.unit_mean).max(f64::MIN_POSITIVE);
-    let below = |x: f64| (distribution.shape * (-(-x / scale).exp()).ln_1p()).exp();
-    LATE_DISENGAGEMENT * (below(deadline) - below(objective)).max(0.0) + 1.0 - below(deadline)
+    let cumulative_probability = |x: f64| (distribution.shape * (-(-x / scale).exp()).ln_1p()).exp();
+    LATE_DISENGAGEMENT * (cumulative_probability(deadline) - cumulative_probability(objective)).max(0.0) + 1.0
+        - cumulative_probability(deadline)
 }
 
-/// The highest mean latency that keeps the mean disengagement at its target, by bisection up to half the
-/// deadline. Times are in any one unit.
+/// Returns the highest mean latency, up to half the deadline, that keeps the mean disengagement within its
+/// target. The value is found by bisection. All times must have the same unit, which is also that of the
+/// result.
 pub fn mean_latency_budget(coefficient_of_variation: f64, objective: f64, deadline: f64) -> f64 {
     let distribution = fit_generalized_exponential(coefficient_of_variation);
     let (mut low, mut high) = (0.0, deadline / 2.0);
@@ -120,7 +131,7 @@
     mean
 }
 
-/// A served request.
+/// The completion time and the latency of a served request.
 #[derive(Clone, Copy)]
 struct Completion {
     at_us: u64,
@@ -131,29 +142,30 @@
 #[derive(Default)]
 pub(super) struct LatencyModel {
     completions: VecDeque<Completion>,
-    /// The coefficient of variation of the latencies.
+    /// Coefficient of variation of the latencies at the latest fit; 0 before it.
     pub(super) coefficient_of_variation: f64,
-    /// The measured disengagement over its target; none while there are too few completions.
+    /// Ratio of the measured mean disengagement to its target; `None` while there are too few completions.
     pub(super) target_ratio: Option<f64>,
-    /// How long a request may be queued, in microseconds.
+    /// Time for which a request may be queued, in microseconds.
     pub(super) queueing_budget_us: f64,
 }
 
 impl LatencyModel {
-    /// Records that a request was served.
+    /// Records that a request was served, with the time from its arrival to its completion.
     pub(super) fn record(&mut self, now_us: u64, latency_us: u64) {
         self.completions.push_back(Completion { at_us: now_us, latency_us: latency_us as f64 });
     }
 
-    /// Fits the model to the completions within the window.
+    /// Fits the model to the retained completions.
     pub(super) fn refit(&mut self, class: &RequestClass, now_us: u64) {
         self.drop_old_completions(now_us);
         let (objective, deadline) =
             (class.latency_objective_us.unwrap_or(0) as f64, class.deadline_us as f64);
         self.target_ratio = None;
         if self.completions.len() < MIN_FITTED_COMPLETIONS {
-            // EXCEPTION: too few to fit. The paper takes latencies to be near exponential: a coefficient of
-            // variation of one, and a shortest latency of zero.
+            // Deviation from the paper: there are too few completions for a fit. The paper assumes
+            // latencies to be nearly exponential, so a coefficient of variation of 1 and a shortest latency
+            // of 0 are used.
             self.queueing_budget_us = mean_latency_budget(1.0, objective, deadline);
             return;
         }
@@ -174,7 +186,7 @@
         while let Some(oldest) = self.completions.front() {
             let is_old = oldest.at_us + MAX_COMPLETION_AGE_US < now_us;
             let count = self.completions.len();
-            if count > MAX_COMPLETIONS || (is_old && count > MIN_KEPT_COMPLETIONS) {
+            if count > MAX_COMPLETIONS || (is_old && count > MIN_RETAINED_COMPLETIONS) {
                 self.completions.pop_front();
             } else {
                 return;
@@ -183,7 +195,8 @@
     }
 }
 
-/// The disengagement curve of the design: zero within the objective, half up to the deadline, one beyond it.
+/// Evaluates the disengagement curve for one latency: 0 up to the objective, 0.5 up to the deadline and 1
+/// beyond it.
 fn disengagement(latency: f64, objective: f64, deadline: f64) -> f64 {
     if latency <= objective {
         0.0
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,5 +1,5 @@
-//! Decides whether a request may be sent or retried, by the rules for idempotency, the retry budget and the order
-//! of requests for one block.
+//! Decides whether a request may be sent or retried, by the rules for idempotency, the retry budget and the
+//! order of requests for one block.
 
 use super::Scheduler;
 use super::event::{BlockId, RequestId};
@@ -11,8 +11,9 @@
 
 /// The requests received and the retries sent within the window of the retry budget.
 ///
-/// Platform rule (retry budget): the number of retries sent within the window must not exceed a fixed burst plus
-/// a fixed ratio of the requests received within the window. Nothing is recorded if there is no budget.
+/// Platform rule (retry budget): the number of retries sent within the window must not exceed a fixed burst
+/// plus a fixed ratio of the requests received within the window. Nothing is recorded if there is no
+/// budget.
 pub(super) struct RetryUsage {
     budget: Option<RetryBudget>,
     request_times_us: VecDeque<u64>,
@@ -59,8 +60,8 @@
 
 /// The queues of requests for each block, of the classes that require order.
 ///
-/// Platform rule (ordering): the requests of such a class for one block run one at a time, in order of arrival.
-/// The entries of blocks are never removed, even when their queues are empty.
+/// Platform rule (ordering): the requests of such a class for one block run one at a time, in order of
+/// arrival. The entries of blocks are never removed, even when their queues are empty.
 #[derive(Default)]
 pub(super) struct OrderingQueues(FxHashMap<BlockId, BlockQueue>);
 
@@ -93,8 +94,8 @@
 }
 
 impl Scheduler {
-    /// Returns whether a request may be sent, or sent again, regardless of which nodes recognize its idempotency
-    /// key.
+    /// Returns whether a request may be sent, or sent again, regardless of which nodes recognize its
+    /// idempotency key.
     ///
     /// Platform rule (idempotency): a request that may have run is sent again only if its class is idempotent
     /// or nodes still recognize its idempotency key.
@@ -104,8 +105,8 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::WithKey { window_us, .. } => {
-                // Connecting may delay the attempt by up to the connect timeout. The nodes must still recognize
-                // the key when the attempt is written to the connection.
+                // Connecting may delay the attempt by up to the connect timeout. The nodes must still
+                // recognize the key when the attempt is written to the connection.
                 let latest_write_at_us = self.now_us + self.settings.connect_timeout_us;
                 latest_write_at_us < earlier_attempt.sent_at_us + window_us
             }
--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -1,24 +1,26 @@
 //! The split of a node's slots between latency-bound and background classes.
 //!
-//! From the paper: a free slot goes to the latency-bound classes with a probability, alpha, which follows
-//! additive decrease and multiplicative increase as the classes keep or miss their targets.
+//! As in the paper, a free slot is assigned to the latency-bound classes with the probability alpha. Alpha
+//! decreases additively while the classes meet their disengagement targets, and increases multiplicatively
+//! while a class misses its target.
 
 use super::Scheduler;
 use super::latency_model::{LatencyModel, MAX_TARGET_RATIO, MIN_TARGET_RATIO};
 use super::settings::ClassIndex;
 
-/// Alpha falls by this over the mean coefficient of variation while all classes keep their targets: gamma of
-/// the paper.
+/// Additive decrease of alpha while all classes meet their targets: gamma of the paper. It is divided by
+/// the mean coefficient of variation of the latencies.
 const ALPHA_DECREASE: f64 = 0.05;
-/// Alpha grows by this factor while a class misses its target: one plus beta of the paper.
+/// Factor by which alpha increases while a class misses its target: 1 + beta of the paper.
 const ALPHA_INCREASE: f64 = 1.0 + 0.25;
-/// The least that alpha falls to; `docs/design.md`, "Constants".
+/// Lower bound of alpha; see `docs/design.md`, "Constants".
 const MIN_ALPHA: f64 = 0.1;
-/// The smallest coefficient of variation that the decrease is divided by.
+/// Lower bound of the coefficient of variation by which the decrease is divided.
 const MIN_VARIATION: f64 = 1e-3;
 
-/// The probability that a free slot goes to the latency-bound classes.
+/// The probability that a free slot is assigned to the latency-bound classes.
 pub(super) struct SlotSplit {
+    /// The probability, from [`MIN_ALPHA`] to 1.
     alpha: f64,
     updated_at_us: u64,
 }
@@ -28,26 +30,28 @@
         SlotSplit { alpha: 1.0, updated_at_us: 0 }
     }
 
-    /// Draws which side a free slot goes to; true for the latency-bound classes.
+    /// Draws at random whether a free slot is assigned to the latency-bound classes; if not, it is assigned
+    /// to the background class.
     pub(super) fn draw_latency_bound(&self, rng: &mut fastrand::Rng) -> bool {
         rng.f64() < self.alpha
     }
 
-    /// Raises alpha if a class misses its target; lowers it if all classes keep theirs and one has slack.
+    /// Raises alpha if a class misses its target. Lowers alpha if all classes meet their targets and at
+    /// least one has slack.
     fn update<'a>(&mut self, latency_bound: impl Iterator<Item = &'a LatencyModel>) {
-        let (mut worst_ratio, mut best_ratio) = (0.0, f64::INFINITY);
-        let (mut variation, mut fitted) = (0.0, 0);
+        let (mut highest_ratio, mut lowest_ratio) = (0.0, f64::INFINITY);
+        let (mut variation_sum, mut fitted_count) = (0.0, 0);
         for model in latency_bound {
             let Some(ratio) = model.target_ratio else { continue };
-            worst_ratio = f64::max(worst_ratio, ratio);
-            best_ratio = f64::min(best_ratio, ratio);
-            variation += model.coefficient_of_variation;
-            fitted += 1;
+            highest_ratio = f64::max(highest_ratio, ratio);
+            lowest_ratio = f64::min(lowest_ratio, ratio);
+            variation_sum += model.coefficient_of_variation;
+            fitted_count += 1;
         }
-        let mean_variation = variation / f64::from(fitted.max(1));
-        if worst_ratio > MAX_TARGET_RATIO {
+        let mean_variation = variation_sum / f64::from(fitted_count.max(1));
+        if highest_ratio > MAX_TARGET_RATIO {
             self.alpha *= ALPHA_INCREASE;
-        } else if best_ratio < MIN_TARGET_RATIO && worst_ratio < MAX_TARGET_RATIO {
+        } else if lowest_ratio < MIN_TARGET_RATIO && highest_ratio < MAX_TARGET_RATIO {
             self.alpha -= ALPHA_DECREASE / mean_variation.max(MIN_VARIATION);
         }
         self.alpha = self.alpha.clamp(MIN_ALPHA, 1.0);
@@ -55,7 +59,8 @@
 }
 
 impl Scheduler {
-    /// Refits the latency models and moves alpha, once per tightest objective.
+    /// Refits the latency models and updates alpha, at most once per duration of the tightest latency
+    /// objective.
     pub(super) fn retune(&mut self) {
         if self.now_us < self.slot_split.updated_at_us + self.tightest_objective_us as u64 {
             return;
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -1,17 +1,17 @@
 //! Slow start: limits the units that this gateway sends to a node that is warming up.
 //!
-//! Platform rule (slow start): the units that all gateways together send to a node that is warming up must not
-//! overload it. Each gateway limits what it sends to the node by a token bucket, in units. The bucket holds half
-//! of this gateway's even share of the units that the node is guaranteed to sustain within the window, and
-//! refills by that amount per window. The share grows with the node's capacity.
+//! Platform rule (slow start): the units that all gateways together send to a node that is warming up must
+//! not overload it. Each gateway limits what it sends to the node by a token bucket, in units. The bucket
+//! holds half of this gateway's even share of the units that the node is guaranteed to sustain within the
+//! window, and refills by that amount per window. The share grows with the node's capacity.
 //!
-//! Deviation from the paper: with many gateways, no bucket would hold the tokens for a complete request, and the
-//! node would stay idle. Therefore a bucket holds at least a request of mean size. It refills at three quarters
-//! of the rate that would overload the node, if this is faster. This rate is derived from the rate at which the
-//! shard served this gateway while its node was warm, so that the rates of all gateways add up to three quarters
-//! of the overloading rate, whatever the number of gateways. This keeps a node from idling when it returns to service
-//! in a deployment with many gateways. The drawback: if traffic has moved to another gateway, that gateway sends little to
-//! the node.
+//! Deviation from the paper: with many gateways, no bucket would hold the tokens for a complete request,
+//! and the node would stay idle. Therefore a bucket holds at least a request of mean size. It refills at
+//! three quarters of the rate that would overload the node, if this is faster. This rate is derived from
+//! the rate at which the shard served this gateway while its node was warm, so that the rates of all
+//! gateways add up to three quarters of the overloading rate, whatever the number of gateways. This keeps a
+//! node from idling when it returns to service in a deployment with many gateways. The drawback: if traffic
+//! has moved to another gateway, that gateway sends little to the node.
 
 use super::event::ShardId;
 use super::node::NodeState;
@@ -19,11 +19,14 @@
 use super::volume::RATE_AVERAGING_TIME_US;
 use rustc_hash::FxHashMap;
 
-/// Fraction of the guaranteed units that all gateways together send, so that the total stays below the guarantee.
+/// Fraction of the guaranteed units that all gateways together send, so that the total stays below the
+/// guarantee.
 const GUARANTEED_FRACTION: f64 = 0.5;
-/// Fraction of the rate that would overload a node; the buckets of all gateways together refill at this fraction.
+/// Fraction of the rate that would overload a node; the buckets of all gateways together refill at this
+/// fraction.
 const OVERLOAD_FRACTION: f64 = 0.75;
-/// Minimum observation time of a shard from which its rate can be estimated, as a fraction of the warm-up time.
+/// Minimum observation time of a shard from which its rate can be estimated, as a fraction of the warm-up
+/// time.
 const MIN_OBSERVED_FRACTION: f64 = 0.25;
 /// Exponent applied to the decay of the current rate to get the slower decay of the highest rate.
 const HIGHEST_RATE_DECAY_EXPONENT: f64 = 0.125;
@@ -59,8 +62,8 @@
     rate: f64,
 }
 
-/// Estimates the rate of units of a shard by exponential decay over the warm-up time of a node. The highest rate
-/// decays more slowly, because a node may have been slow for a long time before it failed.
+/// Estimates the rate of units of a shard by exponential decay over the warm-up time of a node. The highest
+/// rate decays more slowly, because a node may have been slow for a long time before it failed.
 #[derive(Clone, Copy, Default)]
 struct RateEstimator {
     /// Decayed sum of the recorded units.
@@ -112,14 +115,14 @@
         }
     }
 
-    /// Returns the window over which the load of a node that is warming up is summed, in microseconds; `None` if
-    /// there is no slow-start policy.
+    /// Returns the window over which the load of a node that is warming up is summed, in microseconds;
+    /// `None` if there is no slow-start policy.
     pub(super) fn window_us(&self) -> Option<u64> {
         self.policy.map(|policy| policy.window_us)
     }
 
-    /// Returns the least fraction of its full capacity that a node has, from 0 to 1, according to the time since
-    /// its start; 1 without a slow-start policy or if the node started long ago.
+    /// Returns the least fraction of its full capacity that a node has, from 0 to 1, according to the time
+    /// since its start; 1 without a slow-start policy or if the node started long ago.
     pub(super) fn capacity(&self, node: &NodeState, now_us: u64) -> f64 {
         let policy = self.policy.filter(|policy| policy.warm_up_us > 0);
         let Some((policy, started_at_us)) = policy.zip(node.started_at_us) else { return 1.0 };
@@ -143,8 +146,9 @@
         BucketLevel { tokens, share, rate }
     }
 
-    /// Returns the time until a node may be sent a request of this many units, in microseconds; 0 for a node that
-    /// is warm. A request larger than this gateway's share only waits until the bucket holds the share.
+    /// Returns the time until a node may be sent a request of this many units, in microseconds; 0 for a
+    /// node that is warm. A request larger than this gateway's share only waits until the bucket holds the
+    /// share.
     pub(super) fn wait_us(&self, node: &NodeState, units: f64, now_us: u64) -> u64 {
         let Some((policy, started_at_us)) = self.policy.zip(node.started_at_us) else { return 0 };
         if self.is_warm(node, now_us) {
@@ -157,22 +161,22 @@
         wait_us.min(started_at_us + policy.warm_up_us - now_us)
     }
 
-    /// Returns the bucket of a node after the node is sent this many units. The bucket is maintained for every
-    /// node, but only used while the node warms up.
+    /// Returns the bucket of a node after the node is sent this many units. The bucket is maintained for
+    /// every node, but only used while the node warms up.
     pub(super) fn bucket_after_send(&self, node: &NodeState, units: f64, now_us: u64) -> SlowStartBucket {
         let tokens = self.policy.map_or(0.0, |policy| self.bucket_level(&policy, node, now_us).tokens);
         SlowStartBucket { tokens: tokens - units, as_of_us: now_us.max(node.slow_start.as_of_us) }
     }
 
-    /// Returns this gateway's share when a node starts, in units: half of its even share of the units that the
-    /// node is guaranteed to sustain within the window.
+    /// Returns this gateway's share when a node starts, in units: half of its even share of the units that
+    /// the node is guaranteed to sustain within the window.
     pub(super) fn initial_share(&self) -> f64 {
         let guaranteed = self.policy.map_or(0.0, |policy| policy.guaranteed_units);
         GUARANTEED_FRACTION * guaranteed / self.gateway_count.max(1) as f64
     }
 
-    /// Returns the time that a node takes to warm up, in seconds; without a slow-start policy, the time over which
-    /// volumes average their rates.
+    /// Returns the time that a node takes to warm up, in seconds; without a slow-start policy, the time
+    /// over which volumes average their rates.
     fn warm_up_time_s(&self) -> f64 {
         self.policy.map_or(RATE_AVERAGING_TIME_US, |policy| policy.warm_up_us.max(1) as f64) / 1e6
     }
@@ -196,15 +200,15 @@
         self.requested_rates.entry(shard).or_insert(initial).record(units, at_us, averaging_time_s);
     }
 
-    /// Returns the highest recent rate at which a shard served this gateway while its node was warm, in units per
-    /// second.
+    /// Returns the highest recent rate at which a shard served this gateway while its node was warm, in
+    /// units per second.
     ///
-    /// Deviation from the paper: a gateway may have started too shortly before the node to have observed this
-    /// rate. If there are many gateways, it then uses the rate of requests within the reservations, if that is
-    /// higher: over all gateways, these requests amount to a part of the node's full capacity. Without this, a
-    /// gateway that restarts during a release would send almost nothing to a node until it is warm. If the
-    /// reservations exceed the capacity of the nodes, the gateways may send a node more than it is guaranteed to
-    /// sustain.
+    /// Deviation from the paper: a gateway may have started too shortly before the node to have observed
+    /// this rate. If there are many gateways, it then uses the rate of requests within the reservations, if
+    /// that is higher: over all gateways, these requests amount to a part of the node's full capacity.
+    /// Without this, a gateway that restarts during a release would send almost nothing to a node until it
+    /// is warm. If the reservations exceed the capacity of the nodes, the gateways may send a node more
+    /// than it is guaranteed to sustain.
     fn shard_rate(&self, shard: ShardId) -> f64 {
         let served = self.served_rates.get(&shard).copied().unwrap_or_default();
         let observation_is_too_short = served.observed_s < self.warm_up_time_s() * MIN_OBSERVED_FRACTION;
