--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records an attempt that may have run on its node. If the attempt may still be running, other first
-    /// attempts for the block are delayed.
+    /// Records an attempt that may have run on its node. If it may still be running, also delays first
+    /// attempts for the request's block.
     fn record_possible_execution(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
         let may_be_running = matches!(
             report.outcome,
@@ -97,10 +97,10 @@
             (report.latency_us as f64 - 2.0 * node.service_time_per_unit_us * units).max(0.0);
         // The latency of a cancelled or timed-out attempt is only a lower bound. It is used only if this
         // bound already indicates an overload.
-        let is_overload_bound =
+        let bound_indicates_overload =
             matches!(report.outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut)
                 && excess_latency_us > OVERLOAD_OBJECTIVE_FRACTION * tightest_objective_us;
-        if !is_overload_bound && report.outcome != AttemptOutcome::Succeeded {
+        if !bound_indicates_overload && report.outcome != AttemptOutcome::Succeeded {
             return;
         }
         // The longest queue that pacing has to spread: one mean request from each gateway, less the work that
@@ -130,7 +130,7 @@
         match report.outcome {
             AttemptOutcome::Succeeded => self.record_success(report, attempt),
             AttemptOutcome::Rejected => {
-                // If the node is draining, it is not sent any further requests.
+                // A rejection ends the grace period of a draining node.
                 node.drain_until_us = 0;
                 node.record_failure(now_us, rejection);
             }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Finishes the request if it is answered, else queues it for a retry, rejects it or fails it.
+    /// Finishes the request if it has its final answer, else queues it for a retry, rejects it or fails it.
     fn finish_or_retry(&mut self, report: &AttemptReport, actions: &mut Vec<Action>) {
         let id = report.request;
         if report.complete || self.requests[&id].is_answered() {
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -22,7 +22,7 @@
 const MAX_SAMPLES: usize = 64;
 /// Weight of the latest success in an exponential moving average.
 pub(super) const AVERAGING_WEIGHT: f64 = 0.125;
-/// The service time per unit is the latency per unit that one in this many samples stays below.
+/// Divisor that selects the sample used as the service time per unit: the upper bound of the fastest eighth.
 const FASTEST_SAMPLES_DIVISOR: usize = 8;
 /// Queueing delay above which a node counts as overloaded, as a fraction of the tightest latency objective.
 /// It is also the target delay of pacing.
@@ -119,10 +119,10 @@
 
     /// Adjusts the window to the latest latencies.
     ///
-    /// Deviation from the paper: if the expected latency of an attempt is too high for the tightest latency
-    /// objective, the queue of the node is filled by several gateways and served in order of arrival, so
-    /// that the order in which this gateway ranks requests has no effect. The window then shrinks by one
-    /// per adjustment, down to one.
+    /// Deviation from the paper: if the expected latency of an attempt exceeds a fixed fraction of the
+    /// tightest latency objective, several gateways fill the node's queue, which is served in order of
+    /// arrival. The order in which this gateway ranks its requests then has no effect, so the window shrinks
+    /// by one per adjustment, down to one.
     pub(super) fn adjust(&mut self, exceeds_objective_fraction: bool, in_flight: u32) {
         // `in_flight` no longer includes the attempt that has just ended.
         let is_nearly_full = f64::from(in_flight) + 2.0 > self.limit;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -9,8 +9,8 @@
 
 /// Maximum gap between two attempts at a paced node.
 const MAX_PACING_GAP_US: f64 = 5_000_000.0;
-/// Lower bound of the random factor by which the pacing interval is multiplied after each attempt; the upper
-/// bound is one more.
+/// Lower bound of the random factor by which the pacing interval is multiplied to get the gap after an
+/// attempt. The upper bound is this value plus one.
 const MIN_PACING_GAP_FACTOR: f64 = 0.5;
 
 /// The priority order in which queued requests are considered for a free slot, highest first.
@@ -175,8 +175,8 @@
         request.class == self.background_class
     }
 
-    /// Returns whether a request is past its queueing deadline and less time than the tightest latency
-    /// objective of all classes remains until its own objective.
+    /// Returns whether a request is past its queueing deadline and close to its latency objective: the time
+    /// that remains is less than the tightest objective of all classes.
     fn is_urgent(&self, request: &Request) -> bool {
         let urgent_until_us = self.now_us + self.tightest_objective_us as u64;
         request.due_at_us < self.now_us && request.objective_at_us < urgent_until_us
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -5,14 +5,15 @@
 use super::event::RequestId;
 use super::request::Request;
 
-/// Minimum interval between checks for requests to expire.
+/// Minimum interval between checks for expiring requests.
 const MIN_EXPIRY_INTERVAL_US: u64 = 1_000;
-/// A random time of up to the wait divided by this is added to `Retry-After`.
+/// The random time that is added to `Retry-After` is at most the wait divided by this.
 const RETRY_AFTER_SPREAD_DIVISOR: u64 = 4;
 
 impl Scheduler {
-    /// Returns the interval between checks for requests to expire, in microseconds. It is half the grace
-    /// period for final answers, so that they are sent in time, but at least the batch interval.
+    /// Returns the interval between checks for expiring requests, in microseconds. It is half the grace
+    /// period for final answers, so that they are sent in time, but at least the batch interval and
+    /// [`MIN_EXPIRY_INTERVAL_US`].
     pub(super) fn expiry_interval_us(&self) -> u64 {
         (self.settings.answer_grace_us / 2).max(self.settings.batch_interval_us).max(MIN_EXPIRY_INTERVAL_US)
     }
@@ -25,7 +26,7 @@
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             let request = &self.requests[&id];
-            // A new object is first queued for another shard.
+            // A new object is first queued again, for the shard that now has the shortest expected wait.
             if request.may_be_placed_anew() && self.cannot_be_served(request) {
                 self.enqueue(id);
             }
@@ -51,8 +52,8 @@
             || self.would_wait_past_expiry(request)
     }
 
-    /// Returns whether a request was never sent although it is past its latency objective and half of its
-    /// time until expiry is over.
+    /// Returns whether a request was never sent and, by the next check, will be past its latency objective
+    /// and past half of the time from its arrival to its expiry.
     ///
     /// Deviation from the paper: such a request is rejected. The client still has time to retry, and the
     /// cost of rejecting the request later would exceed the value of a late answer. This keeps queues of
@@ -70,7 +71,8 @@
         (request.owes_rate_limit() || has_no_late_value) && request.objective_at_us < self.now_us
     }
 
-    /// Returns whether the request would expire before any node of its shard may be sent it.
+    /// Returns whether the request would expire before it may be sent to a node of its shard; true if no such
+    /// node accepts requests.
     fn would_wait_past_expiry(&self, request: &Request) -> bool {
         let wait_us = self.shortest_node_wait_us(request);
         wait_us.is_none_or(|wait_us| self.now_us.saturating_add(wait_us) >= request.expires_at_us)
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 
-/// Multiple of its expected latency after which an attempt may be lost.
+/// Multiple of the expected latency of an attempt after which the attempt may be lost.
 pub(super) const LOST_AFTER_FACTOR: f64 = 5.0;
 /// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
@@ -59,7 +59,7 @@
 
     /// Records a failure, which starts a backoff. The first backoffs are short, because a single broken
     /// connection says little about the health of its node, and a backoff as long as the latency objective
-    /// would make every queued request miss it.
+    /// would make every queued request fail.
     pub(super) fn record_failure(&mut self, now_us: u64, backoff: Backoff) {
         self.consecutive_failures += 1;
         let doublings = (self.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
--- a/src/scheduler/latency_model.rs
+++ b/src/scheduler/latency_model.rs
@@ -2,7 +2,7 @@
 //!
 //! As in the paper, a generalized exponential distribution F(x) = (1 - e^(-x/scale))^shape is fitted to
 //! recent latencies. Averaging the disengagement curve over this distribution gives the mean latency at
-//! which the mean disengagement is on its target. That mean latency minus the shortest recent latency is
+//! which the mean disengagement meets its target. That mean latency minus the shortest recent latency is
 //! the time for which a request may be queued.
 
 use super::settings::RequestClass;
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -1,5 +1,5 @@
-//! Decides whether a request may be sent or retried, by the rules for idempotency, the retry budget and the
-//! order of requests for one block.
+//! Decides whether a request may be sent or retried, according to the rules for idempotency, the retry budget
+//! and the order of requests for one block.
 
 use super::Scheduler;
 use super::event::{BlockId, RequestId};
@@ -12,8 +12,8 @@
 /// The requests received and the retries sent within the window of the retry budget.
 ///
 /// Platform rule (retry budget): the number of retries sent within the window must not exceed a fixed burst
-/// plus a fixed ratio of the requests received within the window. Nothing is recorded if there is no
-/// budget.
+/// plus a fixed fraction of the number of requests received within the window. Nothing is recorded if there
+/// is no budget.
 pub(super) struct RetryUsage {
     budget: Option<RetryBudget>,
     request_times_us: VecDeque<u64>,
@@ -128,7 +128,8 @@
         self.may_be_sent(request) && key_is_recognized()
     }
 
-    /// Returns whether a node is within the scope in which the key of an earlier attempt is recognized.
+    /// Returns whether a node recognizes the idempotency key of an earlier attempt, according to the
+    /// deduplication scope.
     fn recognizes_key(
         &self,
         scope: DeduplicationScope,
--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -20,7 +20,7 @@
 
 /// The probability that a free slot is assigned to the latency-bound classes.
 pub(super) struct SlotSplit {
-    /// The probability, from [`MIN_ALPHA`] to 1.
+    /// Ranges from [`MIN_ALPHA`] to 1.
     alpha: f64,
     updated_at_us: u64,
 }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -7,11 +7,11 @@
 //!
 //! Deviation from the paper: with many gateways, no bucket would hold the tokens for a complete request,
 //! and the node would stay idle. Therefore a bucket holds at least a request of mean size. It refills at
-//! three quarters of the rate that would overload the node, if this is faster. This rate is derived from
-//! the rate at which the shard served this gateway while its node was warm, so that the rates of all
-//! gateways add up to three quarters of the overloading rate, whatever the number of gateways. This keeps a
-//! node from idling when it returns to service in a deployment with many gateways. The drawback: if traffic
-//! has moved to another gateway, that gateway sends little to the node.
+//! three quarters of the overloading rate, if this is faster. Each gateway derives its part of the
+//! overloading rate from the rate at which the shard served it while the shard's node was warm. These parts
+//! add up over all gateways, whatever their number. This keeps a node from idling when it returns to service
+//! in a deployment with many gateways. The drawback: if traffic has moved to another gateway, that gateway
+//! sends little to the node.
 
 use super::event::ShardId;
 use super::node::NodeState;
@@ -22,11 +22,10 @@
 /// Fraction of the guaranteed units that all gateways together send, so that the total stays below the
 /// guarantee.
 const GUARANTEED_FRACTION: f64 = 0.5;
-/// Fraction of the rate that would overload a node; the buckets of all gateways together refill at this
-/// fraction.
+/// Refill rate of the buckets of all gateways together, as a fraction of the rate that would overload the
+/// node.
 const OVERLOAD_FRACTION: f64 = 0.75;
-/// Minimum observation time of a shard from which its rate can be estimated, as a fraction of the warm-up
-/// time.
+/// Minimum observation time for an estimate of the rate of a shard, as a fraction of the warm-up time.
 const MIN_OBSERVED_FRACTION: f64 = 0.25;
 /// Exponent applied to the decay of the current rate to get the slower decay of the highest rate.
 const HIGHEST_RATE_DECAY_EXPONENT: f64 = 0.125;
@@ -62,8 +61,9 @@
     rate: f64,
 }
 
-/// Estimates the rate of units of a shard by exponential decay over the warm-up time of a node. The highest
-/// rate decays more slowly, because a node may have been slow for a long time before it failed.
+/// Estimates the rate at which units are served by a shard or requested of it. The recorded units decay
+/// exponentially over the warm-up time of a node. The highest rate decays more slowly, because a node may
+/// have been slow for a long time before it failed.
 #[derive(Clone, Copy, Default)]
 struct RateEstimator {
     /// Decayed sum of the recorded units.
