--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -28,7 +28,7 @@
     /// Handles a request that has arrived.
     pub(super) fn admit(&mut self, incoming: &IncomingRequest, actions: &mut Vec<Action>) {
         self.retry_usage.record_request(self.now_us);
-        if !self.settings.know(incoming.class, incoming.plan) {
+        if !self.settings.contains(incoming.class, incoming.plan) {
             actions.push(Action::Reject { request: incoming.id, retry_after_us: None });
             return;
         }
@@ -101,7 +101,7 @@
             plan: incoming.plan,
             volume: incoming.volume,
             block: incoming.block,
-            placement: incoming.shard.map_or(Placement::Free(None), Placement::Bound),
+            placement: incoming.shard.map_or(Placement::AnyShard(None), Placement::Fixed),
             units: incoming.units,
             arrived_at_us: self.now_us,
             due_at_us: self.now_us + queueing_budget_us as u64,
@@ -126,7 +126,7 @@
         let Some(request) = self.requests.get(&id) else { return };
         if request.may_be_placed_anew() {
             let chosen = self.choose_shard();
-            self.requests[&id].placement = Placement::Free(chosen);
+            self.requests[&id].placement = Placement::AnyShard(chosen);
         }
         if let Some(shard) = self.requests[&id].shard() {
             self.queues.entry(shard).or_default().push(id);
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -1,4 +1,4 @@
-//! A request that the scheduler knows, from its arrival until nothing of it is in flight.
+//! Tracks a request from its arrival until it has its final answer and no attempt in flight.
 
 use super::event::{BlockId, ShardId, VolumeId};
 use super::node::NodeIndex;
@@ -8,48 +8,51 @@
 pub(super) struct AttemptInFlight {
     pub(super) node: NodeIndex,
     pub(super) sent_at_us: u64,
-    /// How many attempts at the node had succeeded when this one was sent.
+    /// The number of successful attempts at the node when this one was sent. A later, higher number shows that
+    /// the node has served other attempts since.
     pub(super) node_successes: u64,
-    /// Whether the attempt no longer fills the node's window.
+    /// Whether the answer is presumed lost, so that the attempt no longer occupies a slot of the node's window.
     pub(super) presumed_lost: bool,
 }
 
-/// An attempt that ended without proof that the request did not run.
+/// An attempt that may have executed the request: it ended without proof of the contrary.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
     pub(super) node: NodeIndex,
     pub(super) sent_at_us: u64,
 }
 
-/// Where a request stands.
+/// The progress of a request.
 pub(super) enum RequestState {
-    /// Waits to be sent.
+    /// The request waits to be sent.
     Queued,
-    /// Has an attempt in flight.
+    /// An attempt is in flight.
     InFlight(AttemptInFlight),
-    /// Has its final answer; an attempt that is still in flight is waited for, and nothing more is sent.
+    /// The request has its final answer and is not sent again. It stays registered until the attempt that may
+    /// still be in flight ends.
     Answered { in_flight: Option<AttemptInFlight> },
 }
 
-/// Which shard a request goes to.
+/// The shard that a request is sent to.
 #[derive(Clone, Copy)]
 pub(super) enum Placement {
-    /// The shard that holds the data.
-    Bound(ShardId),
-    /// A new object: any shard, which is chosen here; none if no node is in service.
-    Free(Option<ShardId>),
+    /// The request needs the shard that holds its data.
+    Fixed(ShardId),
+    /// The request writes a new object, for which the scheduler chooses a shard; `None` if no node was ready
+    /// at the time of the choice.
+    AnyShard(Option<ShardId>),
 }
 
 /// Whether a request has been charged to its volume's rate limit.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RateLimitCharge {
-    /// It will be when it is sent first.
+    /// The request is charged when it is first sent.
     Pending,
-    /// It has been, or its plan has no limit.
+    /// The request has been charged, or its plan has no rate limit.
     Settled,
 }
 
-/// A request that the scheduler knows.
+/// A request that has arrived and has not been removed.
 pub(super) struct Request {
     pub(super) class: ClassIndex,
     pub(super) plan: PlanIndex,
@@ -58,43 +61,44 @@
     pub(super) placement: Placement,
     pub(super) units: f64,
     pub(super) arrived_at_us: u64,
-    /// When it is due to be sent: at its arrival, plus the queueing budget of its class.
+    /// When the request should be sent: the queueing budget of its class after its arrival.
     pub(super) due_at_us: u64,
     /// When an answer no longer earns the full priority weight.
     pub(super) objective_at_us: u64,
-    /// When its client gives up.
+    /// When the client times out.
     pub(super) expires_at_us: u64,
     pub(super) state: RequestState,
-    /// Attempts so far.
+    /// The number of attempts sent so far.
     pub(super) attempts: u32,
-    /// The node of the latest attempt.
+    /// The node of the latest attempt; `None` before the first one.
     pub(super) last_node: Option<NodeIndex>,
-    /// The first attempt that may have run.
+    /// The first attempt that may have executed the request; `None` if no attempt may have.
     pub(super) possible_execution: Option<PossibleExecution>,
-    /// Whether a streamed response has begun, which then belongs to the client.
+    /// Whether the response has started to stream to the client. The request then no longer expires.
     pub(super) response_started: bool,
-    /// Whether it is within its volume's reservation.
+    /// Whether the request is within its volume's reservation.
     pub(super) reserved: bool,
-    /// Whether its latest attempt was sent with the background work, behind others.
+    /// Whether the latest attempt was selected as background work, which ranks behind latency-bound work.
     pub(super) sent_as_background: bool,
     pub(super) rate_limit_charge: RateLimitCharge,
 }
 
 impl Request {
-    /// The shard that it goes to, if there is one.
+    /// Returns the shard that the request is sent to; `None` if no shard has been chosen for a new object.
     pub(super) fn shard(&self) -> Option<ShardId> {
         match self.placement {
-            Placement::Bound(shard) => Some(shard),
-            Placement::Free(chosen) => chosen,
+            Placement::Fixed(shard) => Some(shard),
+            Placement::AnyShard(chosen) => chosen,
         }
     }
 
-    /// Whether its shard may still be chosen: it is a new object that cannot have run anywhere.
+    /// Returns whether the scheduler may still choose another shard: the request writes a new object and cannot
+    /// have run on any node.
     pub(super) fn may_be_placed_anew(&self) -> bool {
-        matches!(self.placement, Placement::Free(_)) && self.possible_execution.is_none()
+        matches!(self.placement, Placement::AnyShard(_)) && self.possible_execution.is_none()
     }
 
-    /// Whether it is still to be charged to its volume's rate limit.
+    /// Returns whether the request has not yet been charged to its volume's rate limit.
     pub(super) fn owes_rate_limit(&self) -> bool {
         self.rate_limit_charge == RateLimitCharge::Pending
     }
@@ -123,8 +127,8 @@
         }
     }
 
-    /// Takes the attempt that is in flight, which has ended; a request without its final answer is queued
-    /// again.
+    /// Removes and returns the attempt in flight, if there is one. A request that has no final answer returns
+    /// to the queued state.
     pub(super) fn take_attempt(&mut self) -> Option<AttemptInFlight> {
         match &mut self.state {
             RequestState::Queued => None,
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Records that the request has its final answer; returns whether it had none before.
+    /// Records that the request has its final answer. Returns whether it had none before.
     pub(super) fn mark_answered(&mut self) -> bool {
         if self.is_answered() {
             return false;
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -1,7 +1,7 @@
-//! The settings a scheduler is started with: request classes, service plans, and the rules of the deployment.
+//! The settings of a scheduler: request classes, service plans, and the rules of the deployment.
 //!
-//! Every field follows from the platform's settings or from the operator's file; a rule or ability that these
-//! do not name is absent. Fields that end in `_us` are microseconds.
+//! Every field is derived from the platform's settings or from the operator's file. A rule or feature that
+//! neither of them states is disabled. Fields that end in `_us` are microseconds.
 
 /// The number of a request class: its index in [`SchedulerSettings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -11,164 +11,167 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanIndex(pub usize);
 
-/// Which repetitions of a request are harmless.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Carries an idempotency key: nodes within the scope drop repetitions that arrive within the window.
+    /// The request has an idempotency key: nodes within the scope drop repetitions of the request that arrive
+    /// within the window.
     WithKey {
         /// The nodes that recognize the key.
         scope: DeduplicationScope,
-        /// How long they recognize it, counted from the first attempt, in microseconds.
+        /// How long the nodes recognize the key, counted from the first attempt, in microseconds.
         window_us: u64,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
-/// Which nodes recognize the idempotency key of an earlier attempt.
+/// The nodes that recognize the idempotency key of an earlier attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All nodes.
     AllNodes,
-    /// The nodes of one zone.
+    /// The nodes in the zone of the earlier attempt's node.
     Zone,
-    /// The nodes that hold one shard.
+    /// The nodes that hold the shard of the earlier attempt's node.
     Shard,
 }
 
-/// A class of requests that share a latency objective, a priority and an effect.
+/// A class of requests that share a latency objective, a priority, and rules for retries and ordering.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// An answer within this time earns the full priority weight; none if the class states no objective.
+    /// The time within which an answer earns the full priority weight; `None` if the class has no objective.
     pub latency_objective_us: Option<u64>,
-    /// The time that a client waits in all.
+    /// The total time that a client waits for an answer, at all gateways together.
     pub deadline_us: u64,
     /// The weight of a served request, relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that an answer past the objective earns.
+    /// The fraction of the priority weight that an answer past the objective earns. If it is 0, queued
+    /// requests are dropped once they are past their objective.
     pub late_weight_factor: f64,
-    /// Which repetitions are harmless.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Requests for one block run one at a time, in order of arrival.
+    /// Whether requests for the same block run one at a time, in order of arrival.
     pub ordered_by_key: bool,
-    /// The objective grows by this multiple of the request's own service time.
+    /// The objective is extended by the request's own service time, multiplied by this factor.
     pub objective_stretch: f64,
 }
 
-/// A token bucket that limits a volume.
+/// A token bucket that limits the rate of a volume. Each gateway enforces an even share of the limit.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
-    /// Units per second that flow into the bucket.
+    /// The fill rate of the bucket, in units per second.
     pub rate: f64,
-    /// The most units that the bucket holds.
+    /// The capacity of the bucket, in units.
     pub burst: f64,
-    /// How far below zero the bucket may fall.
+    /// How far below zero the level of the bucket may fall, in units.
     pub overdraft: f64,
 }
 
 /// The service plan of a volume. All rates are units per second for one volume, over all gateways and nodes.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// The rate that the volume is sized for.
+    /// The rate for which the volume is provisioned.
     pub provisioned_rate: f64,
-    /// The rate that earns its full priority weight.
+    /// The rate up to which the volume's requests earn their full priority weight.
     pub reserved_rate: f64,
-    /// The volume's weight in what is left beyond the reservations.
+    /// The volume's weight in the fair queue, which shares out the capacity beyond the reservations.
     pub weight: f64,
-    /// A factor on the priority weight of the volume's requests.
+    /// The factor by which the priority weight of the volume's requests is multiplied.
     pub priority_factor: f64,
-    /// The limit, if the plan has one.
+    /// The rate limit of the volume; `None` if the plan has no limit.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// What a node that has just started may be sent.
+/// How much work a node that has just started may be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartPolicy {
-    /// Units that a node bears within the window at any time, from all gateways.
+    /// The units that a node that has just started sustains within any window, summed over all gateways.
     pub guaranteed_units: f64,
     /// The window over which a node's load is summed.
     pub window_us: u64,
-    /// The fraction of its capacity that a node starts with, at least.
+    /// The minimum capacity with which a node starts, as a fraction of its full capacity.
     pub initial_capacity: f64,
-    /// The time after which a node has its full capacity.
+    /// The time after which a node has its full capacity; 0 if nodes have it from the start.
     pub warm_up_us: u64,
-    /// The multiple of its present capacity that a node bears over the window.
+    /// The load that a node sustains over the window, as a multiple of its current capacity.
     pub overload_factor: f64,
 }
 
-/// The budget of attempts beyond each request's first.
+/// The retry budget: how many attempts may be sent in addition to the first attempt of each request.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed in the window whatever the traffic.
+    /// The number of retries allowed in the window regardless of the traffic.
     pub burst: f64,
-    /// Retries allowed for each request received in the window.
+    /// The number of further retries allowed for each request received in the window.
     pub ratio: f64,
-    /// The window.
+    /// The retry window, over which requests and retries are counted.
     pub window_us: u64,
 }
 
 /// The settings of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerSettings {
-    /// The request classes; requests name them by index.
+    /// The request classes, which requests reference by index.
     pub classes: Vec<RequestClass>,
-    /// The service plans; requests name them by index.
+    /// The service plans, which requests reference by index.
     pub plans: Vec<ServicePlan>,
-    /// This gateway's number among all gateways, from 0.
+    /// The number of this gateway among all gateways, from 0.
     pub gateway_index: usize,
-    /// How many gateways there are.
+    /// The number of gateways in the fleet.
     pub gateway_count: usize,
-    /// The shortest gap between batches of events.
+    /// The minimum time between two batches of events.
     pub batch_interval_us: u64,
-    /// The most attempts for one request, if stated.
+    /// The maximum number of attempts for one request; `None` if there is no limit.
     pub max_attempts: Option<u32>,
-    /// A connection that is not established by then has failed.
+    /// The time after which an attempt to connect to a node has failed.
     pub connect_timeout_us: u64,
-    /// Whether attempts can be cancelled.
+    /// Whether nodes honor the cancellation of attempts.
     pub cancellation: bool,
-    /// The longest `Retry-After` that a rejected client follows; none if it follows none.
+    /// The longest `Retry-After` that a rejected client honors; `None` if clients ignore the header, which is
+    /// then not sent.
     pub max_retry_after_us: Option<u64>,
-    /// A final answer counts until this long after the client's deadline.
+    /// How long after the client's deadline a final answer is still accepted.
     pub answer_grace_us: u64,
-    /// Whether the endpoint list has to be requested, rather than being pushed.
+    /// Whether the gateway has to request the endpoint list; if not, the list is pushed to it.
     pub endpoints_on_request: bool,
-    /// Where the endpoint list has to be requested: the longest time between two polls.
+    /// The maximum time between two polls of the endpoint list, if the gateway has to request it.
     pub max_poll_interval_us: u64,
-    /// How long after a node was announced as draining it may still be sent work.
+    /// How long a node may still be sent work after it was announced as draining.
     pub drain_grace_us: u64,
-    /// What nodes that have just started may be sent, if restricted.
+    /// The limits for nodes that have just started; `None` if there are no such limits.
     pub slow_start: Option<SlowStartPolicy>,
-    /// The budget of retries, if restricted.
+    /// The retry budget; `None` if the number of retries is not limited.
     pub retry_budget: Option<RetryBudget>,
-    /// How long an ordered block waits after an attempt that may still run.
+    /// How long the next request for an ordered block is delayed after an attempt that may still be running.
     pub ordering_gap_us: u64,
     /// The mean size of a request in units.
     pub mean_request_units: f64,
     /// The largest size of a request in units.
     pub max_request_units: f64,
-    /// The fraction of its priority weight that a unit beyond the reservation, but within the fair share,
-    /// earns.
+    /// The fraction of its priority weight that a unit earns if it is beyond the volume's reservation but
+    /// within its fair share.
     pub fair_share_weight_factor: f64,
-    /// The period over which nodes meter a volume's rate everywhere, if they report it.
+    /// The period over which nodes meter the total rate of a volume; `None` if they do not report it.
     pub metering_period_us: Option<u64>,
-    /// Whether answers report what a node served the volume through other gateways.
+    /// Whether nodes report how many units they served for a volume through other gateways.
     pub reports_other_gateways: bool,
 }
 
 impl SchedulerSettings {
-    /// Whether there are such a class and such a plan.
-    pub(super) fn know(&self, class: ClassIndex, plan: PlanIndex) -> bool {
+    /// Returns whether the settings contain this class and this plan.
+    pub(super) fn contains(&self, class: ClassIndex, plan: PlanIndex) -> bool {
         class.0 < self.classes.len() && plan.0 < self.plans.len()
     }
 
-    /// The class with this number, which must be known.
+    /// Returns the class with this number, which must exist.
     pub(super) fn class(&self, class: ClassIndex) -> &RequestClass {
         &self.classes[class.0]
     }
 
-    /// The plan with this number, which must be known.
+    /// Returns the plan with this number, which must exist.
     pub(super) fn plan(&self, plan: PlanIndex) -> &ServicePlan {
         &self.plans[plan.0]
     }
