--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a request arrives, is classified, and is queued or rejected.
+//! Admission: decides whether an incoming request is queued or rejected, and chooses a shard for new objects.
 
 use super::Scheduler;
 use super::action::Action;
@@ -6,26 +6,28 @@
 use super::request::{Placement, RateLimitCharge, Request, RequestState};
 use super::volume::Volume;
 
-/// A node whose service time is unknown is assumed to serve a request in this part of the tightest objective.
-const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
-/// The expected wait at a failing node is multiplied by this.
+/// The assumed latency of a node whose service time is unknown, as a fraction of the tightest objective.
+const ASSUMED_LATENCY_OBJECTIVE_FRACTION: f64 = 0.25;
+/// The factor by which the expected wait at a failing node is multiplied.
 const FAILING_NODE_PENALTY: f64 = 10.0;
-/// The expected wait at a warming-up node is divided by its capacity, or by this if that is larger.
+/// The lower bound of a warming-up node's capacity, by which the expected wait at the node is divided.
 const MIN_ASSUMED_CAPACITY: f64 = 0.1;
-/// Expected waits are multiplied by a random factor from one to one plus this, so that equal nodes share new
-/// objects.
-const PLACEMENT_JITTER: f64 = 0.1;
+/// The maximum relative increase of an expected wait by a random factor, which spreads new objects over nodes
+/// with equal waits.
+const MAX_PLACEMENT_JITTER: f64 = 0.1;
 
-/// What becomes of a request at its volume.
+/// The result of checking a request against its volume's rate limit and reservation.
 enum VolumeAdmission {
-    /// The rate limit would not admit it within its objective.
+    /// The rate limit would not admit the request within its objective, or could never admit it. `wait_us` is
+    /// the time until enough tokens have accumulated.
     RateLimited { wait_us: u64 },
-    /// It is queued.
+    /// The request is queued. `reserved` tells whether it is within the volume's reservation.
     Admitted { reserved: bool },
 }
 
 impl Scheduler {
-    /// Handles a request that has arrived.
+    /// Queues a request that has arrived, or rejects it if its class or plan is unknown or its volume's rate
+    /// limit would not admit it in time.
     pub(super) fn admit(&mut self, incoming: &IncomingRequest, actions: &mut Vec<Action>) {
         self.retry_usage.record_request(self.now_us);
         if !self.settings.contains(incoming.class, incoming.plan) {
@@ -44,7 +46,7 @@
         if let Some(shard) = incoming.shard.filter(|_| reserved) {
             self.slow_start.record_requested(shard, incoming.units, self.now_us);
         }
-        let request = self.queued_request(incoming, objective_at_us, reserved);
+        let request = self.new_request(incoming, objective_at_us, reserved);
         if let Some(block) = self.ordering_block(&request) {
             self.ordering.enqueue(block, incoming.id);
         }
@@ -52,41 +54,42 @@
         self.enqueue(incoming.id);
     }
 
-    /// When an answer no longer earns the full priority weight. A client with less time left than clients of
-    /// its class usually have is assumed to have waited for the difference at another gateway.
+    /// Returns when an answer no longer earns the full priority weight. A client that has less time left than
+    /// the longest that was observed in its class is assumed to have spent the difference at another gateway.
     fn objective_at_us(&mut self, incoming: &IncomingRequest) -> u64 {
         let class = self.settings.class(incoming.class);
-        let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
-        let longest_us = &mut self.longest_timeouts_us[incoming.class.0];
-        *longest_us = (*longest_us).max(left_us.min(class.deadline_us));
-        let began_at_us = self.now_us.saturating_sub(longest_us.saturating_sub(left_us));
-        // The first node stands for all.
+        let remaining_us = incoming.expires_at_us.saturating_sub(self.now_us);
+        let longest_timeout_us = &mut self.longest_timeouts_us[incoming.class.0];
+        *longest_timeout_us = (*longest_timeout_us).max(remaining_us.min(class.deadline_us));
+        let assumed_start_at_us = self.now_us.saturating_sub(longest_timeout_us.saturating_sub(remaining_us));
+        // The service time of the first node represents that of all nodes.
         let service_time_us =
             self.nodes.first().map_or(0.0, |node| node.service_time_per_unit_us * incoming.units);
         let stretch_us = (class.objective_stretch * service_time_us) as u64;
         let objective_us = class.latency_objective_us.unwrap_or(0) + stretch_us;
-        began_at_us + objective_us.min(class.deadline_us)
+        assumed_start_at_us + objective_us.min(class.deadline_us)
     }
 
-    /// Counts the request at its volume and decides whether it is rejected by the rate limit, admitted within
-    /// the reservation, or admitted beyond it. A request that the rate limit cannot admit within its
-    /// objective is rejected at once: queued, it would delay everything behind it.
+    /// Records the request at its volume, and decides whether it is rejected by the rate limit, admitted
+    /// within the reservation, or admitted beyond the reservation. A request that the rate limit cannot admit
+    /// within its objective is rejected at once, because in the queue it would delay all requests behind it.
     fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
         let plan = self.settings.plan(incoming.plan);
-        let (gateways, max_units) = (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
+        let (gateway_count, max_request_units) =
+            (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
         let started_at_us = self.started_at_us;
         let volume = self
             .volumes
             .entry(incoming.volume)
-            .or_insert_with(|| Volume::new(plan, gateways, max_units, started_at_us));
-        volume.gateways = volume.gateways.max(gateways);
-        volume.advance(plan, self.now_us, max_units);
-        volume.record_requested_here(incoming.units);
+            .or_insert_with(|| Volume::new(plan, gateway_count, max_request_units, started_at_us));
+        volume.gateway_count = volume.gateway_count.max(gateway_count);
+        volume.advance(plan, self.now_us, max_request_units);
+        volume.record_requested(incoming.units);
         if let Some(limit) = &plan.rate_limit {
             let wait_us = volume.rate_limit_wait_us(limit, incoming.units);
-            let left_us = incoming.expires_at_us.saturating_sub(self.now_us);
-            let useful_wait_us = objective_at_us.saturating_sub(self.now_us).min(left_us);
-            if wait_us >= useful_wait_us || volume.exceeds_burst(limit, incoming.units) {
+            let remaining_us = incoming.expires_at_us.saturating_sub(self.now_us);
+            let max_wait_us = objective_at_us.saturating_sub(self.now_us).min(remaining_us);
+            if wait_us >= max_wait_us || volume.exceeds_burst(limit, incoming.units) {
                 return VolumeAdmission::RateLimited { wait_us };
             }
         }
@@ -94,7 +97,7 @@
         VolumeAdmission::Admitted { reserved: volume.try_reserve(incoming.units) }
     }
 
-    fn queued_request(&self, incoming: &IncomingRequest, objective_at_us: u64, reserved: bool) -> Request {
+    fn new_request(&self, incoming: &IncomingRequest, objective_at_us: u64, reserved: bool) -> Request {
         let queueing_budget_us = self.latency_models[incoming.class.0].queueing_budget_us;
         Request {
             class: incoming.class,
@@ -121,7 +124,8 @@
         }
     }
 
-    /// Queues a request with those for its shard; a new object goes where it should be served first.
+    /// Appends a request to the queue of its shard. If the shard may still be chosen, chooses the one with the
+    /// shortest expected wait first. A request without a shard is not in any queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.may_be_placed_anew() {
@@ -133,24 +137,26 @@
         }
     }
 
-    /// The shard of the node that promises the shortest wait for a new object.
+    /// Returns the shard of the ready node with the shortest expected wait for a new object; `None` if no node
+    /// is ready.
     fn choose_shard(&mut self) -> Option<ShardId> {
-        let mut best: Option<(f64, ShardId)> = None;
+        let mut shortest: Option<(f64, ShardId)> = None;
         for index in 0..self.nodes.len() {
             if !self.nodes[index].is_ready() {
                 continue;
             }
-            let jitter = 1.0 + PLACEMENT_JITTER * self.rng.f64();
+            let jitter = 1.0 + MAX_PLACEMENT_JITTER * self.rng.f64();
             let wait_us = self.expected_new_object_wait_us(index) * jitter;
-            if best.is_none_or(|(shortest, _)| wait_us < shortest) {
-                best = Some((wait_us, self.nodes[index].shard));
+            if shortest.is_none_or(|(shortest_us, _)| wait_us < shortest_us) {
+                shortest = Some((wait_us, self.nodes[index].shard));
             }
         }
-        best.map(|(_, shard)| shard)
+        shortest.map(|(_, shard)| shard)
     }
 
-    /// What a new object is likely to wait at a node, in microseconds. A node that is failing or warming up
-    /// counts as slower, and one that has left an attempt unanswered as at least as slow as that.
+    /// Returns the expected wait of a new object at a node, in microseconds. The estimate is higher for a
+    /// node that is failing or warming up. The node's latency is assumed to be at least the age of its oldest
+    /// attempt in flight.
     fn expected_new_object_wait_us(&self, index: usize) -> f64 {
         let node = &self.nodes[index];
         let mean_units = self.settings.mean_request_units;
@@ -158,16 +164,16 @@
         let latency_us = if node.service_time_per_unit_us > 0.0 {
             node.expected_latency_us(mean_units)
         } else {
-            self.tightest_objective_us * ASSUMED_LATENCY_FRACTION
+            self.tightest_objective_us * ASSUMED_LATENCY_OBJECTIVE_FRACTION
         };
         let latency_us = latency_us.max(node.health.oldest_in_flight_us);
-        let penalty = if node.health.is_failing() {
+        let wait_factor = if node.health.is_failing() {
             FAILING_NODE_PENALTY
         } else {
             1.0 / self.slow_start.capacity(node, self.now_us).max(MIN_ASSUMED_CAPACITY)
         };
         let slow_start_wait_us = self.slow_start.wait_us(node, mean_units, self.now_us) as f64;
-        let ahead = queued + node.reported_requests.max(f64::from(node.in_flight)) + 1.0;
-        ahead * latency_us * penalty + slow_start_wait_us
+        let request_count = queued + node.reported_requests.max(f64::from(node.in_flight)) + 1.0;
+        request_count * latency_us * wait_factor + slow_start_wait_us
     }
 }
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -1,26 +1,28 @@
-//! Weighted fair queueing of background and surplus work among the volumes at a node.
+//! Weighted fair queueing: divides a node's capacity for background and surplus work among the volumes.
 
 use super::event::VolumeId;
 use rustc_hash::FxHashMap;
 
-/// The smallest weight that units are divided by.
+/// The lower bound of a volume's weight, which is used as a divisor.
 const MIN_WEIGHT: f64 = 1e-3;
 
-/// The virtual time of a node, and when each volume's last request finishes in it.
+/// The fair queue of one node. Virtual time advances by the units of a request divided by the weight of its
+/// volume.
 #[derive(Default)]
 pub(super) struct FairQueue {
+    /// The virtual start time of the latest request that was sent to the node.
     virtual_time: f64,
-    /// Units served for each volume, over its weight.
+    /// The virtual time at which the latest request of each volume finishes.
     finish_times: FxHashMap<VolumeId, f64>,
 }
 
 impl FairQueue {
-    /// The virtual time at which the volume's next request starts.
+    /// Returns the virtual time at which the volume's next request starts.
     pub(super) fn start_time(&self, volume: VolumeId) -> f64 {
         self.finish_times.get(&volume).copied().unwrap_or(0.0).max(self.virtual_time)
     }
 
-    /// Records that a request of the volume is served.
+    /// Records that a request of the volume is sent to the node.
     pub(super) fn serve(&mut self, volume: VolumeId, units: f64, weight: f64) {
         let finish_time = self.finish_times.entry(volume).or_insert(0.0);
         self.virtual_time = finish_time.max(self.virtual_time);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,29 +1,33 @@
-//! The scheduler: every decision of the gateway, as a pure function of its settings, its seed and its events.
+//! The scheduler makes every decision of the gateway, as a pure function of its settings, seed and events.
 //!
-//! A [`Scheduler`] is fed batches of [`Event`]s and answers with [`Action`]s; it touches no socket, clock,
-//! file or thread. `docs/design.md` gives the reasons for what it does.
+//! A [`Scheduler`] receives batches of [`Event`]s and responds with [`Action`]s. It uses no socket, clock,
+//! file or thread. `docs/design.md` explains its design.
 //!
-//! The ordinary path (user disengagement-oriented target enforcement, after the paper): each class keeps
-//! recent latencies; a distribution fitted to them gives the mean latency that the class may have, hence how
-//! long a request may be queued (`latency_model`). Queued requests of latency-bound classes are sent
-//! earliest due first, and share a node's slots with background work by a probability, alpha (`slot_split`,
-//! `dispatch`). What departs from that path is marked EXCEPTION; what the platform's rules need is marked
-//! RULE.
+//! The scheduling model is that of the paper, user disengagement-oriented target enforcement. Each class
+//! records its recent latencies. A distribution fitted to them determines the mean latency that the class may
+//! have, and from that how long its requests may be queued (`latency_model`). Queued requests of
+//! latency-bound classes are sent in order of their due times. They share the slots of a node with background
+//! work: a probability, alpha, decides which of the two a free slot goes to (`slot_split`, `dispatch`).
 //!
-//! | module | what it decides or keeps |
+//! Comments use two marks:
+//!
+//! - `Deviation from the paper:` marks a departure from the paper's model, and gives the reason.
+//! - `Platform rule (x):` marks code that a rule of the platform requires; `x` names the rule.
+//!
+//! | module | responsibility |
 //! | --- | --- |
-//! | `settings`, `event`, `action` | the interface |
-//! | `admission` | whether a request that arrives is queued or rejected |
-//! | `dispatch` | which queued request is sent next, to which node, with which timeout |
-//! | `completion` | what the end of an attempt tells, and what becomes of its request |
-//! | `request` | a request and where it stands |
-//! | `retry` | idempotency, the retry budget, the order of requests for one block |
-//! | `expiry` | what is given up, and its final answer |
-//! | `endpoints` | the endpoint list and when it is watched |
-//! | `node`, `concurrency_window`, `health`, `fair_queue` | what is known of a node |
-//! | `slow_start` | what a node that has just started may be sent |
-//! | `volume` | reservation, rate limit and observed rates of a volume |
-//! | `latency_model`, `slot_split` | the paper's model |
+//! | `settings`, `event`, `action` | defines the interface of the scheduler |
+//! | `admission` | decides whether an incoming request is queued or rejected |
+//! | `dispatch` | decides which queued request is sent next, to which node, and with which timeout |
+//! | `completion` | handles the end of an attempt: updates statistics, then finishes or retries the request |
+//! | `request` | tracks the state of a request |
+//! | `retry` | enforces idempotency, the retry budget, and the order of requests for one block |
+//! | `expiry` | decides which requests expire, and sends final answers |
+//! | `endpoints` | applies the endpoint list and schedules its polls |
+//! | `node`, `concurrency_window`, `health`, `fair_queue` | tracks the state of a node |
+//! | `slow_start` | limits the load of nodes that have just started |
+//! | `volume` | tracks a volume's reservation, rate limit and observed rates |
+//! | `latency_model`, `slot_split` | implements the paper's model |
 
 mod action;
 mod admission;
@@ -67,10 +71,10 @@
 use std::collections::BTreeMap;
 use volume::Volume;
 
-/// The smallest priority that others are compared with.
+/// The lower bound of each factor of the maximum priority, which is used as a divisor.
 const MIN_PRIORITY: f64 = 1e-9;
-/// The token of the only timer that the scheduler sets.
-const EXPIRY_TIMER: u64 = 0;
+/// The token of the scheduler's timer. The scheduler sets only this one.
+const EXPIRY_TIMER_TOKEN: u64 = 0;
 
 /// The scheduler of one gateway.
 pub struct Scheduler {
@@ -78,23 +82,25 @@
     rng: fastrand::Rng,
     started_at_us: u64,
     now_us: u64,
-    /// The latency model of each class.
+    /// The latency models, indexed by class.
     latency_models: Vec<LatencyModel>,
-    /// Per class, the longest remaining time that a request has arrived with. One that arrives with less is
-    /// assumed to have spent the difference at another gateway.
+    /// The longest time to expiry with which a request of each class has arrived, at most the deadline of the
+    /// class. A request that arrives with less time is assumed to have spent the difference at another
+    /// gateway.
     longest_timeouts_us: Vec<u64>,
-    /// The class that yields to the others.
+    /// The class whose requests rank behind those of the other, latency-bound classes.
     background_class: ClassIndex,
-    /// The tightest objective of all classes.
+    /// The shortest latency objective of all classes.
     tightest_objective_us: f64,
-    /// The highest priority that a request can have.
+    /// The highest priority that a request can have; above 0.
     max_priority: f64,
     slot_split: SlotSplit,
     nodes: Vec<NodeState>,
     slow_start: SlowStart,
     volumes: FxHashMap<VolumeId, Volume>,
     requests: IndexMap<RequestId, Request, FxBuildHasher>,
-    /// The requests queued for each shard; may name some that are no longer queued there.
+    /// The requests queued for each shard. May contain requests that are no longer queued for that shard;
+    /// `dispatch` removes them.
     queues: BTreeMap<ShardId, Vec<RequestId>>,
     ordering: OrderingQueues,
     retry_usage: RetryUsage,
@@ -103,8 +109,8 @@
 }
 
 impl Scheduler {
-    /// A scheduler that starts now and knows nothing but its settings. Equal seeds and events lead to equal
-    /// actions.
+    /// Creates a scheduler that starts at `now_us` without any nodes, volumes or requests. Equal settings,
+    /// seeds and events lead to equal actions.
     pub fn new(settings: SchedulerSettings, seed: u64, now_us: u64) -> Self {
         let class_count = settings.classes.len();
         let objectives = settings.classes.iter().filter_map(|class| class.latency_objective_us);
@@ -131,8 +137,8 @@
         }
     }
 
-    /// Handles a batch of events and appends what is decided. What is sent is decided after the whole batch
-    /// is seen.
+    /// Handles a batch of events and appends the resulting actions. Requests are dispatched only after all
+    /// events of the batch have been handled.
     pub fn handle(&mut self, now_us: u64, events: &[Event], actions: &mut Vec<Action>) {
         self.now_us = now_us;
         for event in events {
@@ -156,15 +162,15 @@
                 }
             }
             Event::AttemptEnded(report) => self.end_attempt(report, actions),
-            Event::ClientDisconnected(id) => self.abandon(*id, actions),
+            Event::ClientDisconnected(id) => self.handle_client_disconnect(*id, actions),
             Event::TimerFired(_) => self.timer_is_set = false,
             Event::HealthCheckCompleted { .. } | Event::GossipReceived { .. } => {}
         }
     }
 
-    /// Ends a request whose client has disconnected. Its attempt is cancelled if nodes honour that, to save
-    /// the work.
-    fn abandon(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Ends a request whose client has disconnected. Cancels the attempt in flight, if nodes honor
+    /// cancellation, so that they need not finish it.
+    fn handle_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|request| request.attempt_in_flight().is_some());
         if let Some(request) = request.filter(|_| self.settings.cancellation) {
             actions.push(Action::CancelAttempt { request: id, attempt: request.attempts - 1 });
@@ -172,30 +178,32 @@
         self.finish(id);
     }
 
-    /// Keeps a timer set while requests are known or a poll is scheduled.
+    /// Sets the timer unless it is already set, as long as there are requests or a poll is scheduled.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let is_needed = !self.requests.is_empty() || self.endpoint_polling.is_scheduled();
         if is_needed && !self.timer_is_set {
             self.timer_is_set = true;
-            actions.push(Action::SetTimer { after_us: self.expiry_interval_us(), token: EXPIRY_TIMER });
+            actions.push(Action::SetTimer { after_us: self.expiry_interval_us(), token: EXPIRY_TIMER_TOKEN });
         }
     }
 }
 
-/// The background class. Prefers a class with no objective before its deadline; among equals, the lowest
-/// weight, then the longest objective, then one without any.
+/// Returns the background class: preferably a class without an objective that is shorter than its deadline.
+/// Among such classes, or among all classes if there are none, it is the one with the lowest priority weight.
+/// Ties go to the class with the longest objective, and last to a class without an objective.
 fn background_class(settings: &SchedulerSettings) -> ClassIndex {
     let order = |class: &RequestClass| {
         let objective_us = class.latency_objective_us;
         let is_latency_bound = objective_us.is_some_and(|objective_us| objective_us < class.deadline_us);
-        // `to_bits` orders floating-point numbers that are not negative.
+        // The bit patterns of non-negative floating-point numbers have the same order as the numbers.
         (is_latency_bound, class.priority_weight.max(0.0).to_bits(), Reverse(objective_us))
     };
     let classes = 0..settings.classes.len();
     ClassIndex(classes.min_by_key(|class| order(&settings.classes[*class])).unwrap_or(0))
 }
 
-/// The highest priority that a request can have.
+/// Returns the highest priority that a request can have: the highest priority weight of a class times the
+/// highest priority factor of a plan.
 fn max_priority(settings: &SchedulerSettings) -> f64 {
     let weights = settings.classes.iter().map(|class| class.priority_weight);
     let factors = settings.plans.iter().map(|plan| plan.priority_factor);
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -1,4 +1,4 @@
-//! What this gateway knows of a storage node.
+//! Tracks the state of a storage node at this gateway.
 
 use super::concurrency_window::{AVERAGING_WEIGHT, ConcurrencyWindow, Pacing};
 use super::event::{Endpoint, EndpointState, NodeId, ShardId, ZoneId};
@@ -6,53 +6,54 @@
 use super::health::{Backoff, NodeHealth};
 use super::slow_start::SlowStartBucket;
 
-/// Above this fraction of the tightest objective, the expected latency shrinks the node's window.
-const SLOW_OBJECTIVE_FRACTION: f64 = 0.18;
+/// If the expected latency exceeds this fraction of the tightest objective, the node's window shrinks.
+const WINDOW_SHRINK_OBJECTIVE_FRACTION: f64 = 0.18;
 
-/// The index of a node among those that the scheduler knows.
+/// The index of a node in the scheduler's list of nodes, from which nodes are never removed.
 pub(super) type NodeIndex = usize;
 
-/// A storage node as this gateway sees it.
+/// The state of a storage node at this gateway.
 pub(super) struct NodeState {
     pub(super) id: NodeId,
     pub(super) zone: ZoneId,
     pub(super) shard: ShardId,
     pub(super) state: EndpointState,
-    /// While it is draining: until when it may be sent work; 0 if there is no grace.
+    /// The time until which a draining node may be sent work; 0 if it has no grace period.
     pub(super) drain_until_us: u64,
-    /// When its process started, as listed, unless that was long ago.
+    /// When the node's process started, according to the endpoint list; `None` if that was long ago.
     pub(super) started_at_us: Option<u64>,
     pub(super) window: ConcurrencyWindow,
     pub(super) pacing: Pacing,
     pub(super) health: NodeHealth,
     pub(super) slow_start: SlowStartBucket,
     pub(super) fair_queue: FairQueue,
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     pub(super) in_flight: u32,
-    /// Attempts in flight whose answers are presumed lost.
+    /// The number of attempts in flight whose answers are presumed lost.
     pub(super) presumed_lost: u32,
-    /// Attempts that have succeeded so far.
+    /// The number of attempts that have succeeded so far.
     pub(super) successes: u64,
-    /// The moving average of the latency beyond the service time, in microseconds. Kept apart from the
-    /// service time, so that large requests do not make small ones look late.
+    /// The moving average of the latency beyond the service time, in microseconds. The two are tracked
+    /// separately, so that large requests do not raise the latency that is expected for small ones.
     queueing_delay_us: f64,
-    /// The service time, in microseconds per unit: the fastest eighth of the samples.
+    /// The service time, in microseconds per unit: the fastest eighth of the recent samples; 0 if unknown.
     pub(super) service_time_per_unit_us: f64,
-    /// Requests that the node last reported to work on or to have queued.
+    /// The number of requests, in process or queued, that the node last reported; 0 if it has reported none.
     pub(super) reported_requests: f64,
 }
 
-/// The figures of the deployment that a node's window is adjusted by.
+/// The settings of the deployment by which a node's window is adjusted.
 #[derive(Clone, Copy)]
 pub(super) struct ServiceScale {
-    /// The tightest objective of all classes, in microseconds.
+    /// The shortest latency objective of all classes, in microseconds.
     pub(super) tightest_objective_us: f64,
     /// The mean size of a request, in units.
     pub(super) mean_request_units: f64,
 }
 
 impl NodeState {
-    /// A node that this gateway has not known before. Its zone, shard and state follow from its endpoint.
+    /// Creates the state of a node that is new to this gateway. The node stays out of service until the
+    /// caller applies the state of its endpoint.
     pub(super) fn new(endpoint: &Endpoint, slow_start: SlowStartBucket) -> Self {
         NodeState {
             id: endpoint.node.clone(),
@@ -75,8 +76,9 @@
         }
     }
 
-    /// The node after its process has restarted: what was learnt of the process before it, and held against
-    /// it, is past, but attempts at that one may still end.
+    /// Returns the state of the node after its process has restarted. Latencies and failures of the previous
+    /// process are discarded. Counts of attempts are preserved, because attempts that were sent to the
+    /// previous process may still end.
     pub(super) fn after_restart(&self, endpoint: &Endpoint, slow_start: SlowStartBucket) -> Self {
         NodeState {
             window: ConcurrencyWindow::after_restart(),
@@ -87,14 +89,16 @@
         }
     }
 
-    /// Whether the node is in service and not draining.
+    /// Returns whether the node is in service and not draining.
     pub(super) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Whether the node may be sent work. EXCEPTION: one that is draining may be, for a part of the rule's
-    /// grace, as what is bound to its shard has nowhere else to go until its successor is listed, seconds
-    /// later.
+    /// Returns whether the node may be sent work.
+    ///
+    /// Deviation from the paper: a draining node may be sent work for a part of the grace period that the
+    /// platform's draining rule grants. Requests for the data of its shard cannot be sent to any other node
+    /// until the node's successor is listed, which takes seconds.
     pub(super) fn accepts_work(&self, now_us: u64) -> bool {
         match self.state {
             EndpointState::Ready => true,
@@ -103,8 +107,8 @@
         }
     }
 
-    /// Whether the node may be sent one more attempt: it accepts work, its backoff is over, and its window
-    /// (one attempt while it is failing) has a free slot.
+    /// Returns whether the node may be sent one more attempt: the node accepts work, its backoff is over, and
+    /// its window has a free slot. The window of a failing node has one slot.
     pub(super) fn has_capacity(&self, now_us: u64) -> bool {
         let max_in_flight = if self.health.is_failing() { 1.0 } else { self.window.limit() };
         self.accepts_work(now_us)
@@ -112,18 +116,18 @@
             && f64::from(self.in_flight - self.presumed_lost) + 1.0 <= max_in_flight
     }
 
-    /// What an attempt of this size is likely to take, in microseconds.
+    /// Returns the expected latency of an attempt of this size, in microseconds.
     pub(super) fn expected_latency_us(&self, units: f64) -> f64 {
         self.queueing_delay_us + self.service_time_per_unit_us * units
     }
 
-    /// Handles the end of an attempt.
+    /// Removes an attempt that has ended from the counts of attempts in flight.
     pub(super) fn release_attempt(&mut self, presumed_lost: bool) {
         self.in_flight -= 1;
         self.presumed_lost -= u32::from(presumed_lost);
     }
 
-    /// Records that an attempt succeeded.
+    /// Records that an attempt succeeded, and adjusts the window if that is due.
     pub(super) fn record_success(&mut self, now_us: u64, latency_us: u64, units: f64, scale: ServiceScale) {
         let latency = latency_us as f64;
         let latency_per_unit = latency / units.max(1.0);
@@ -141,11 +145,12 @@
         }
         self.service_time_per_unit_us = self.window.update_median(now_us);
         let expected = self.expected_latency_us(scale.mean_request_units);
-        let uses_up_objective = expected > SLOW_OBJECTIVE_FRACTION * scale.tightest_objective_us;
-        self.window.adjust(uses_up_objective, self.in_flight);
+        let exceeds_objective_fraction =
+            expected > WINDOW_SHRINK_OBJECTIVE_FRACTION * scale.tightest_objective_us;
+        self.window.adjust(exceeds_objective_fraction, self.in_flight);
     }
 
-    /// Records a failure of the node: its window starts anew, and the next attempt waits for a backoff.
+    /// Records a failure of the node: its window shrinks to the minimum, and a backoff starts.
     pub(super) fn record_failure(&mut self, now_us: u64, backoff: Backoff) {
         self.window.collapse();
         self.health.record_failure(now_us, backoff);
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -8,10 +8,10 @@
 pub(super) struct AttemptInFlight {
     pub(super) node: NodeIndex,
     pub(super) sent_at_us: u64,
-    /// The number of successful attempts at the node when this one was sent. A later, higher number shows that
-    /// the node has served other attempts since.
+    /// The node's count of successful attempts when this attempt was sent. If the count has grown since, the
+    /// node has served other attempts in the meantime.
     pub(super) node_successes: u64,
-    /// Whether the answer is presumed lost, so that the attempt no longer occupies a slot of the node's window.
+    /// Whether the answer is presumed lost. The attempt then no longer occupies a slot of the node's window.
     pub(super) presumed_lost: bool,
 }
 
@@ -28,8 +28,8 @@
     Queued,
     /// An attempt is in flight.
     InFlight(AttemptInFlight),
-    /// The request has its final answer and is not sent again. It stays registered until the attempt that may
-    /// still be in flight ends.
+    /// The request has its final answer and is not sent again. If an attempt is still in flight, the request
+    /// is kept until the attempt ends.
     Answered { in_flight: Option<AttemptInFlight> },
 }
 
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Returns whether the scheduler may still choose another shard: the request writes a new object and cannot
-    /// have run on any node.
+    /// Returns whether the scheduler may still choose another shard, because the request writes a new object
+    /// and cannot have run on any node.
     pub(super) fn may_be_placed_anew(&self) -> bool {
         matches!(self.placement, Placement::AnyShard(_)) && self.possible_execution.is_none()
     }
--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -1,128 +1,144 @@
-//! What this gateway knows of a volume: its parts of the reservation and of the rate limit, and observed
-//! rates.
+//! Tracks a volume: this gateway's shares of the volume's reservation and rate limit, and the observed rates.
 
 use super::settings::{RateLimit, ServicePlan};
 
-/// The time over which a volume's rates are averaged.
+/// The time constant of the exponential averages of a volume's rates, in microseconds.
 pub(super) const RATE_AVERAGING_TIME_US: f64 = 3_000_000.0;
-/// The same in seconds.
+/// [`RATE_AVERAGING_TIME_US`] in seconds.
 pub(super) const RATE_AVERAGING_TIME_S: f64 = RATE_AVERAGING_TIME_US / 1e6;
-/// The part of the provisioned rate that is assumed to be spread evenly over the volume's gateways, so that
-/// one that has seen nothing yet has some of the reservation.
+/// The fraction of the provisioned rate that is assumed to be spread evenly over the volume's gateways. It
+/// gives a gateway that has not yet received any requests for the volume a share of the reservation.
 const EVEN_RATE_FRACTION: f64 = 0.25;
-/// The smallest provisioned rate that shares are computed with.
-const MIN_RATE: f64 = 1e-3;
-/// Kept free above the lower bound, so that rounding never overdraws the bucket, in units.
+/// The lower bound of the provisioned rate when shares are computed, in units per second.
+const MIN_PROVISIONED_RATE: f64 = 1e-3;
+/// The margin above the lowest level of the rate limit's bucket, in units. It prevents rounding errors from
+/// overdrawing the bucket.
 const ROUNDING_MARGIN_UNITS: f64 = 1e-6;
 
-/// A volume as this gateway sees it.
+/// The state of a volume at this gateway.
 #[derive(Default)]
 pub(super) struct Volume {
-    /// How many gateways its requests come through.
-    pub(super) gateways: f64,
+    /// The number of gateways through which the volume's requests arrive, at least 1.
+    pub(super) gateway_count: f64,
+    /// When the buckets and the rates were last updated.
     updated_at_us: u64,
-    /// This gateway's part of the bucket of the rate limit, in units.
-    limit_tokens: f64,
-    /// This gateway's part of the bucket of the reservation, in units.
+    /// The level of this gateway's share of the rate limit's bucket, in units.
+    rate_limit_tokens: f64,
+    /// The level of this gateway's share of the reservation's bucket, in units.
     reservation_tokens: f64,
-    /// Units per second through this gateway.
+    /// The average rate requested through this gateway, in units per second.
     own_rate: f64,
-    /// Units per second through the other gateways.
-    other_rate: f64,
-    /// Units queued that the rate limit has not been charged for.
+    /// The average rate served through the other gateways, in units per second.
+    other_gateways_rate: f64,
+    /// The units of queued requests that have not been charged to the rate limit.
     uncharged_units: f64,
 }
 
 impl Volume {
-    /// RULE rate limit: each gateway spends an even share of the bucket. A restarted gateway cannot know what
-    /// its predecessor spent, so its share starts at its lowest level, the overdraft.
-    pub(super) fn new(plan: &ServicePlan, gateways: f64, max_request_units: f64, started_at_us: u64) -> Self {
+    /// Creates the state of a volume whose first request arrives.
+    ///
+    /// Platform rule (rate limit): each gateway uses an even share of the volume's bucket. A gateway that has
+    /// restarted does not know how much its previous process used, so its share starts at the lowest level,
+    /// the overdraft.
+    pub(super) fn new(
+        plan: &ServicePlan,
+        gateway_count: f64,
+        max_request_units: f64,
+        started_at_us: u64,
+    ) -> Self {
         let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
         Volume {
-            gateways,
+            gateway_count,
             updated_at_us: started_at_us,
-            limit_tokens: -overdraft / gateways,
+            rate_limit_tokens: -overdraft / gateway_count,
             reservation_tokens: reservation_burst(plan, max_request_units),
             ..Volume::default()
         }
     }
 
-    /// Fills the buckets and lets the observed rates decay up to now.
+    /// Updates the state to `now_us`: refills the buckets and decays the observed rates.
     pub(super) fn advance(&mut self, plan: &ServicePlan, now_us: u64, max_request_units: f64) {
         let elapsed_us = now_us.saturating_sub(self.updated_at_us) as f64;
         self.updated_at_us = now_us;
-        // A plan without a limit leaves no credit to a volume that comes under a limited plan later.
-        self.limit_tokens = plan.rate_limit.map_or(self.limit_tokens.min(0.0), |limit| {
-            let filled = self.limit_tokens + limit.rate / self.gateways * elapsed_us / 1e6;
-            filled.min(limit.burst / self.gateways)
+        // Without a rate limit no tokens accumulate, so that a volume has none saved when it gets a limited
+        // plan later.
+        self.rate_limit_tokens = plan.rate_limit.map_or(self.rate_limit_tokens.min(0.0), |limit| {
+            let refilled = self.rate_limit_tokens + limit.rate / self.gateway_count * elapsed_us / 1e6;
+            refilled.min(limit.burst / self.gateway_count)
         });
-        let share = self.share(plan);
-        let filled = self.reservation_tokens + plan.reserved_rate * share * elapsed_us / 1e6;
-        self.reservation_tokens = filled.min(reservation_burst(plan, max_request_units) * share);
+        let share = self.reservation_share(plan);
+        let refilled = self.reservation_tokens + plan.reserved_rate * share * elapsed_us / 1e6;
+        self.reservation_tokens = refilled.min(reservation_burst(plan, max_request_units) * share);
         let decay = (-elapsed_us / RATE_AVERAGING_TIME_US).exp();
         self.own_rate *= decay;
-        self.other_rate *= decay;
+        self.other_gateways_rate *= decay;
     }
 
-    /// This gateway's share of the reservation, by how much of the volume's traffic comes through it.
-    fn share(&self, plan: &ServicePlan) -> f64 {
-        let even_rate = EVEN_RATE_FRACTION * plan.provisioned_rate.max(MIN_RATE);
-        if self.gateways <= 1.0 {
+    /// Returns this gateway's share of the reservation, from 0 to 1. The share follows the fraction of the
+    /// volume's traffic that arrives at this gateway.
+    fn reservation_share(&self, plan: &ServicePlan) -> f64 {
+        let even_rate = EVEN_RATE_FRACTION * plan.provisioned_rate.max(MIN_PROVISIONED_RATE);
+        if self.gateway_count <= 1.0 {
             1.0
         } else {
-            (self.own_rate + even_rate / self.gateways) / (self.own_rate + self.other_rate + even_rate)
+            (self.own_rate + even_rate / self.gateway_count)
+                / (self.own_rate + self.other_gateways_rate + even_rate)
         }
     }
 
     /// Records that units were requested through this gateway.
-    pub(super) fn record_requested_here(&mut self, units: f64) {
+    pub(super) fn record_requested(&mut self, units: f64) {
         self.own_rate += units / RATE_AVERAGING_TIME_S;
     }
 
     /// Records that a node served units through other gateways.
     pub(super) fn record_served_elsewhere(&mut self, units: f64) {
-        self.other_rate += units / RATE_AVERAGING_TIME_S;
+        self.other_gateways_rate += units / RATE_AVERAGING_TIME_S;
     }
 
-    /// Records the rate at which the volume was served everywhere, in percent of the provisioned rate.
+    /// Records the volume's total rate over all gateways and nodes, in percent of the provisioned rate.
     pub(super) fn record_metered(&mut self, percent: f64, plan: &ServicePlan) {
-        self.other_rate = (percent / 100.0 * plan.provisioned_rate - self.own_rate).max(0.0);
+        self.other_gateways_rate = (percent / 100.0 * plan.provisioned_rate - self.own_rate).max(0.0);
     }
 
-    /// How long until the limit admits this many units, behind what is queued for it, in microseconds.
+    /// Returns how long until the rate limit admits this many units in addition to the queued, uncharged
+    /// units, in microseconds.
     pub(super) fn rate_limit_wait_us(&self, limit: &RateLimit, units: f64) -> u64 {
-        let missing = self.uncharged_units + units - self.limit_tokens - limit.overdraft / self.gateways;
-        (missing.max(0.0) / (limit.rate / self.gateways) * 1e6) as u64
+        let missing_units =
+            self.uncharged_units + units - self.rate_limit_tokens - limit.overdraft / self.gateway_count;
+        (missing_units.max(0.0) / (limit.rate / self.gateway_count) * 1e6) as u64
     }
 
-    /// Whether the limit could never admit a request of this size.
+    /// Returns whether a request of this size exceeds the rate limit even with a full bucket, so that it can
+    /// never be admitted.
     pub(super) fn exceeds_burst(&self, limit: &RateLimit, units: f64) -> bool {
-        units > (limit.burst + limit.overdraft) / self.gateways
+        units > (limit.burst + limit.overdraft) / self.gateway_count
     }
 
-    /// Whether the limit admits this many units now.
+    /// Returns whether the rate limit admits this many units now. `advance` has to be called before.
     pub(super) fn rate_limit_admits(&self, plan: &ServicePlan, units: f64) -> bool {
         let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
-        self.limit_tokens - units >= -overdraft / self.gateways + ROUNDING_MARGIN_UNITS
+        self.rate_limit_tokens - units >= -overdraft / self.gateway_count + ROUNDING_MARGIN_UNITS
     }
 
-    /// Records that units are queued.
+    /// Records that units are queued, which have not been charged to the rate limit.
     pub(super) fn add_uncharged(&mut self, units: f64) {
         self.uncharged_units += units;
     }
 
-    /// Records that units left the queue without being charged to the limit.
+    /// Records that units left the queue without being charged to the rate limit.
     pub(super) fn remove_uncharged(&mut self, units: f64) {
         self.uncharged_units -= units;
     }
 
-    /// Charges units that leave the queue to the limit.
+    /// Charges units that leave the queue to the rate limit.
     pub(super) fn charge(&mut self, units: f64) {
-        self.limit_tokens -= units;
+        self.rate_limit_tokens -= units;
         self.uncharged_units -= units;
     }
 
-    /// Takes units out of the reservation, if at least half of them are there.
+    /// Takes units out of the reservation's bucket if it contains at least half of them. Returns whether the
+    /// units were taken.
     pub(super) fn try_reserve(&mut self, units: f64) -> bool {
         let reserved = self.reservation_tokens >= units / 2.0;
         if reserved {
@@ -132,7 +148,8 @@
     }
 }
 
-/// What the bucket of a reservation holds: one second of its rate, and the largest request.
+/// Returns the capacity of a reservation's bucket in units: one second at the reserved rate, plus the largest
+/// request.
 fn reservation_burst(plan: &ServicePlan, max_request_units: f64) -> f64 {
     plan.reserved_rate + max_request_units
 }
