--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Appends a request to the queue of its shard. If the shard may still be chosen, chooses the one with the
-    /// shortest expected wait first. A request without a shard is not in any queue.
+    /// Appends a request to the queue of its shard. If the shard may still be chosen, first chooses the one
+    /// with the shortest expected wait. A request without a shard is not added to any queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.may_be_placed_anew() {
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Returns the shard of the ready node with the shortest expected wait for a new object; `None` if no node
-    /// is ready.
+    /// Returns the shard of the ready node with the shortest expected wait for a new object; `None` if no
+    /// node is ready.
     fn choose_shard(&mut self) -> Option<ShardId> {
         let mut shortest: Option<(f64, ShardId)> = None;
         for index in 0..self.nodes.len() {
--- a/src/scheduler/endpoints.rs
+++ b/src/scheduler/endpoints.rs
@@ -9,14 +9,14 @@
 use super::slow_start::SlowStartBucket;
 
 /// Platform rule (draining): after a failed poll, the platform considers a change announced this long after
-/// discovery recorded it and was reachable (Protocol page, "Figures").
+/// discovery has recorded the change and is reachable (Protocol page, "Figures").
 const ANNOUNCEMENT_DELAY_US: u64 = 6_000_000;
 /// The time after which a poll times out in the gateway's discovery client.
 const POLL_TIMEOUT_US: u64 = 1_500_000;
 /// The maximum time from a failed poll to the next one. The next poll must be able to return a change before
 /// the platform considers the change announced.
 const MAX_POLL_RETRY_PERIOD_US: u64 = ANNOUNCEMENT_DELAY_US - POLL_TIMEOUT_US;
-/// The number of gateways that may poll at the same time without being spread out.
+/// The maximum size of a fleet whose polls are not spread out over time.
 const MAX_UNSPREAD_GATEWAYS: usize = 8;
 /// Each gateway beyond [`MAX_UNSPREAD_GATEWAYS`] extends the time over which polls are spread by the maximum
 /// poll interval divided by this number.
@@ -65,8 +65,8 @@
 /// Returns the time over which gateways spread their polls. It grows by one step with each gateway beyond
 /// [`MAX_UNSPREAD_GATEWAYS`].
 ///
-/// A single discovery service answers the polls one after another. If a whole fleet started at once, or
-/// detected a failure of the service at once, polls that are not spread out would overload it repeatedly.
+/// A single discovery service answers the polls one after another. Without the spread, a
+/// fleet that starts at once, or detects a failure of the service at once, would overload it repeatedly.
 fn poll_spread_us(settings: &SchedulerSettings) -> u64 {
     let excess_gateways = settings.gateway_count.saturating_sub(MAX_UNSPREAD_GATEWAYS) as u64;
     let max_spread_us = settings.max_poll_interval_us / 4 * 3;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -71,7 +71,8 @@
 use std::collections::BTreeMap;
 use volume::Volume;
 
-/// The lower bound of each factor of the maximum priority, which is used as a divisor.
+/// The lower bound of both factors of the maximum priority. Keeps the maximum priority above 0, because other
+/// priorities are divided by it.
 const MIN_PRIORITY: f64 = 1e-9;
 /// The token of the scheduler's timer. The scheduler sets only this one.
 const EXPIRY_TIMER_TOKEN: u64 = 0;
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Ends a request whose client has disconnected. Cancels the attempt in flight, if nodes honor
-    /// cancellation, so that they need not finish it.
+    /// Ends a request whose client has disconnected. If nodes honor cancellation, cancels the attempt
+    /// in flight to save the node's work.
     fn handle_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|request| request.attempt_in_flight().is_some());
         if let Some(request) = request.filter(|_| self.settings.cancellation) {
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -78,7 +78,7 @@
     pub(super) response_started: bool,
     /// Whether the request is within its volume's reservation.
     pub(super) reserved: bool,
-    /// Whether the latest attempt was selected as background work, which ranks behind latency-bound work.
+    /// Whether the latest attempt was selected with the background work, which ranks behind latency-bound work.
     pub(super) sent_as_background: bool,
     pub(super) rate_limit_charge: RateLimitCharge,
 }
