--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -9,7 +9,7 @@
 /// The assumed latency of a node whose service time is unknown, as a fraction of the tightest objective.
 const ASSUMED_LATENCY_OBJECTIVE_FRACTION: f64 = 0.25;
 /// The factor by which the expected wait at a failing node is multiplied.
-const FAILING_NODE_PENALTY: f64 = 10.0;
+const FAILING_NODE_WAIT_FACTOR: f64 = 10.0;
 /// The lower bound of a warming-up node's capacity, by which the expected wait at the node is divided.
 const MIN_ASSUMED_CAPACITY: f64 = 0.1;
 /// The maximum relative increase of an expected wait by a random factor, which spreads new objects over nodes
@@ -168,7 +168,7 @@
         };
         let latency_us = latency_us.max(node.health.oldest_in_flight_us);
         let wait_factor = if node.health.is_failing() {
-            FAILING_NODE_PENALTY
+            FAILING_NODE_WAIT_FACTOR
         } else {
             1.0 / self.slow_start.capacity(node, self.now_us).max(MIN_ASSUMED_CAPACITY)
         };
--- a/src/scheduler/endpoints.rs
+++ b/src/scheduler/endpoints.rs
@@ -65,8 +65,8 @@
 /// Returns the time over which gateways spread their polls. It grows by one step with each gateway beyond
 /// [`MAX_UNSPREAD_GATEWAYS`].
 ///
-/// A single discovery service answers the polls one after another. Without the spread, a
-/// fleet that starts at once, or detects a failure of the service at once, would overload it repeatedly.
+/// A single discovery service answers the polls one after another. Without the spread, a fleet whose gateways
+/// start at the same time, or detect a failure of the service at the same time, would overload it repeatedly.
 fn poll_spread_us(settings: &SchedulerSettings) -> u64 {
     let excess_gateways = settings.gateway_count.saturating_sub(MAX_UNSPREAD_GATEWAYS) as u64;
     let max_spread_us = settings.max_poll_interval_us / 4 * 3;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -19,7 +19,7 @@
 //! | `settings`, `event`, `action` | defines the interface of the scheduler |
 //! | `admission` | decides whether an incoming request is queued or rejected |
 //! | `dispatch` | decides which queued request is sent next, to which node, and with which timeout |
-//! | `completion` | handles the end of an attempt: updates statistics, then finishes or retries the request |
+//! | `completion` | handles the end of an attempt: updates statistics, then ends or retries the request |
 //! | `request` | tracks the state of a request |
 //! | `retry` | enforces idempotency, the retry budget, and the order of requests for one block |
 //! | `expiry` | decides which requests expire, and sends final answers |
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Ends a request whose client has disconnected. If nodes honor cancellation, cancels the attempt
-    /// in flight to save the node's work.
+    /// Ends a request whose client has disconnected. If nodes honor cancellation, cancels the attempt in flight
+    /// to save the node's work.
     fn handle_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|request| request.attempt_in_flight().is_some());
         if let Some(request) = request.filter(|_| self.settings.cancellation) {
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -4,7 +4,7 @@
 use super::node::NodeIndex;
 use super::settings::{ClassIndex, PlanIndex};
 
-/// An attempt at a request that is in flight.
+/// An attempt that is in flight.
 pub(super) struct AttemptInFlight {
     pub(super) node: NodeIndex,
     pub(super) sent_at_us: u64,
@@ -15,7 +15,7 @@
     pub(super) presumed_lost: bool,
 }
 
-/// An attempt that may have executed the request: it ended without proof of the contrary.
+/// An attempt that may have executed the request, because it ended without proof that the request did not run.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
     pub(super) node: NodeIndex,
@@ -78,7 +78,7 @@
     pub(super) response_started: bool,
     /// Whether the request is within its volume's reservation.
     pub(super) reserved: bool,
-    /// Whether the latest attempt was selected with the background work, which ranks behind latency-bound work.
+    /// Whether the latest attempt was selected with the background work, behind latency-bound work.
     pub(super) sent_as_background: bool,
     pub(super) rate_limit_charge: RateLimitCharge,
 }
