--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
 //! The scheduler makes every decision of the gateway, as a pure function of its settings, seed and events.
 //!
 //! A [`Scheduler`] receives batches of [`Event`]s and responds with [`Action`]s. It uses no socket, clock,
-//! file or thread. `docs/design.md` explains its design.
+//! file or thread. `docs/design.md` gives the reasons for its design.
 //!
 //! The scheduling model is that of the paper, user disengagement-oriented target enforcement. Each class
 //! records its recent latencies. A distribution fitted to them determines the mean latency that the class may
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Ends a request whose client has disconnected. If nodes honor cancellation, cancels the attempt in flight
-    /// to save the node's work.
+    /// Ends a request whose client has disconnected. If nodes honor cancellation, cancels the attempt in
+    /// flight to save the node's work.
     fn handle_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|request| request.attempt_in_flight().is_some());
         if let Some(request) = request.filter(|_| self.settings.cancellation) {
