--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -15,8 +15,8 @@
     pub(super) presumed_lost: bool,
 }
 
-/// An attempt that may have executed the request, because the attempt ended without proof that the request did
-/// not run.
+/// An attempt that may have executed the request, because the attempt ended without proof that the request
+/// did not run.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
     pub(super) node: NodeIndex,
