--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -107,7 +107,7 @@
             placement: incoming.shard.map_or(Placement::AnyShard(None), Placement::Fixed),
             units: incoming.units,
             arrived_at_us: self.now_us,
-            due_at_us: self.now_us + queueing_budget_us as u64,
+            queueing_deadline_us: self.now_us + queueing_budget_us as u64,
             objective_at_us,
             expires_at_us: incoming.expires_at_us,
             state: RequestState::Queued,
@@ -128,7 +128,7 @@
     /// with the shortest expected wait. A request without a shard is not added to any queue.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        if request.may_be_placed_anew() {
+        if request.may_change_shard() {
             let chosen = self.choose_shard();
             self.requests[&id].placement = Placement::AnyShard(chosen);
         }
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -6,7 +6,7 @@
 use super::concurrency_window::{OVERLOAD_OBJECTIVE_FRACTION, PacingSignal};
 use super::event::{AttemptOutcome, AttemptReport, RequestId};
 use super::health::{Backoff, LOST_AFTER_FACTOR};
-use super::node::ServiceScale;
+use super::node::WindowParameters;
 use super::request::{AttemptInFlight, PossibleExecution};
 
 /// Initial backoff after a rejection by a node: the base backoff divided by this.
@@ -72,11 +72,11 @@
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
         volume.advance(plan, self.now_us, self.settings.max_request_units);
         if self.settings.reports_other_gateways {
-            volume.record_served_elsewhere(report.units_via_other_gateways);
+            volume.record_served_via_other_gateways(report.units_via_other_gateways);
         }
         let metered = report.volume_rate_percent.filter(|_| self.settings.metering_period_us.is_some());
         if let Some(percent) = metered {
-            volume.record_metered(percent, plan);
+            volume.record_metered_rate(percent, plan);
         }
     }
 
@@ -131,7 +131,7 @@
             AttemptOutcome::Succeeded => self.record_success(report, attempt),
             AttemptOutcome::Rejected => {
                 // A rejection ends the grace period of a draining node.
-                node.drain_until_us = 0;
+                node.drain_grace_ends_at_us = 0;
                 node.record_failure(now_us, rejection);
             }
             AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset if !succeeded_since => {
@@ -194,13 +194,13 @@
 
     /// Records the latency of a successful attempt at its node and in the latency model of its class.
     fn record_success(&mut self, report: &AttemptReport, attempt: &AttemptInFlight) {
-        let scale = ServiceScale {
+        let parameters = WindowParameters {
             tightest_objective_us: self.tightest_objective_us,
             mean_request_units: self.settings.mean_request_units,
         };
         let request = &self.requests[&report.request];
         let node = &mut self.nodes[attempt.node];
-        node.record_success(self.now_us, report.latency_us, request.units, scale);
+        node.record_success(self.now_us, report.latency_us, request.units, parameters);
         // A request that was ranked with the background requests waited for others. Its latency is not
         // representative of its class.
         let is_representative = request.reserved || !request.sent_as_background;
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -84,7 +84,7 @@
     }
 
     /// Reduces the window to its minimum after a failure.
-    pub(super) fn collapse(&mut self) {
+    pub(super) fn reset_to_minimum(&mut self) {
         self.limit = MIN_WINDOW;
     }
 
@@ -102,8 +102,9 @@
         }
     }
 
-    /// Returns whether the window may be adjusted again. It is adjusted at most once per round trip.
-    pub(super) fn adjustment_is_due(&self, now_us: u64, round_trip_us: f64) -> bool {
+    /// Returns whether the window may be adjusted again: at least one round trip must have passed since the
+    /// latest adjustment.
+    pub(super) fn may_be_adjusted(&self, now_us: u64, round_trip_us: f64) -> bool {
         now_us >= self.adjusted_at_us + round_trip_us as u64
     }
 
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -96,7 +96,7 @@
         // background requests, and requests that would miss their objective are ranked last.
         let is_backlogged = queue.iter().any(|id| {
             let request = &self.requests[id];
-            !self.is_background(request) && request.due_at_us < self.now_us
+            !self.is_background(request) && request.queueing_deadline_us < self.now_us
         });
         let candidates = self.ranked_candidates(node, queue, is_backlogged);
         let is_latency_bound = |candidate: &Candidate| candidate.rank == DispatchRank::LatencyBound;
@@ -143,7 +143,7 @@
             candidates.push(Candidate {
                 rank,
                 virtual_start,
-                queueing_deadline_us: request.due_at_us,
+                queueing_deadline_us: request.queueing_deadline_us,
                 position,
             });
         }
@@ -179,7 +179,7 @@
     /// that remains is less than the tightest objective of all classes.
     fn is_urgent(&self, request: &Request) -> bool {
         let urgent_until_us = self.now_us + self.tightest_objective_us as u64;
-        request.due_at_us < self.now_us && request.objective_at_us < urgent_until_us
+        request.queueing_deadline_us < self.now_us && request.objective_at_us < urgent_until_us
     }
 
     /// Returns whether a request would miss its latency objective if it were sent to this node now.
@@ -250,7 +250,7 @@
     /// charged to the limit or its plan has none.
     fn rate_limit_admits(&mut self, id: RequestId) -> bool {
         let request = &self.requests[&id];
-        if !request.owes_rate_limit() {
+        if !request.is_rate_limit_charge_pending() {
             return true;
         }
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return true };
@@ -267,7 +267,7 @@
         if request.attempts > 0 {
             self.retry_usage.record_retry(self.now_us);
         }
-        if request.owes_rate_limit()
+        if request.is_rate_limit_charge_pending()
             && let Some(volume) = self.volumes.get_mut(&request.volume)
         {
             volume.charge(request.units);
@@ -275,7 +275,7 @@
         }
         if request.sent_as_background {
             let weight = self.settings.plan(request.plan).weight;
-            node.fair_queue.serve(request.volume, request.units, weight);
+            node.fair_queue.record_send(request.volume, request.units, weight);
         }
         node.pacing.record_send(self.now_us, MIN_PACING_GAP_FACTOR + self.rng.f64());
         request.attempts += 1;
--- a/src/scheduler/endpoints.rs
+++ b/src/scheduler/endpoints.rs
@@ -124,7 +124,7 @@
         let index = self.register_node(endpoint);
         let node = &mut self.nodes[index];
         if node.is_ready() && endpoint.state == EndpointState::Draining {
-            node.drain_until_us = self.now_us + drain_grace_us;
+            node.drain_grace_ends_at_us = self.now_us + drain_grace_us;
         }
         node.zone = endpoint.zone;
         node.shard = endpoint.shard;
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -27,7 +27,7 @@
         for id in ids {
             let request = &self.requests[&id];
             // A new object is first queued again, for the shard that now has the shortest expected wait.
-            if request.may_be_placed_anew() && self.cannot_be_served(request) {
+            if request.may_change_shard() && self.cannot_be_served(request) {
                 self.enqueue(id);
             }
             let request = &self.requests[&id];
@@ -68,7 +68,7 @@
     /// volume's rate limit has not admitted it yet.
     fn is_dropped_past_objective(&self, request: &Request) -> bool {
         let has_no_late_value = self.settings.class(request.class).late_weight_factor <= 0.0;
-        (request.owes_rate_limit() || has_no_late_value) && request.objective_at_us < self.now_us
+        (request.is_rate_limit_charge_pending() || has_no_late_value) && request.objective_at_us < self.now_us
     }
 
     /// Returns whether the request would expire before it may be sent to a node of its shard; true if no such
@@ -116,7 +116,7 @@
     /// Returns the time until the rate limit of the request's volume admits it, in microseconds; 0 if the
     /// request is already charged to the limit or its plan has none.
     fn rate_limit_wait_us(&self, request: &Request) -> u64 {
-        let volume = self.volumes.get(&request.volume).filter(|_| request.owes_rate_limit());
+        let volume = self.volumes.get(&request.volume).filter(|_| request.is_rate_limit_charge_pending());
         let rate_limit = self.settings.plan(request.plan).rate_limit;
         // No units are added here: those of the request are already among the volume's uncharged units.
         volume.zip(rate_limit).map_or(0, |(volume, limit)| volume.rate_limit_wait_us(&limit, 0.0))
@@ -137,7 +137,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let was_unanswered = request.mark_answered();
         if was_unanswered
-            && request.owes_rate_limit()
+            && request.is_rate_limit_charge_pending()
             && let Some(volume) = self.volumes.get_mut(&request.volume)
         {
             volume.remove_uncharged(request.units);
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -22,8 +22,8 @@
         self.finish_times.get(&volume).copied().unwrap_or(0.0).max(self.virtual_time)
     }
 
-    /// Records that a request of the volume is sent to the node.
-    pub(super) fn serve(&mut self, volume: VolumeId, units: f64, weight: f64) {
+    /// Records that a request of the volume is sent to the node, and advances the virtual time.
+    pub(super) fn record_send(&mut self, volume: VolumeId, units: f64, weight: f64) {
         let finish_time = self.finish_times.entry(volume).or_insert(0.0);
         self.virtual_time = finish_time.max(self.virtual_time);
         *finish_time = self.virtual_time + units / weight.max(MIN_WEIGHT);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -6,8 +6,9 @@
 //! The scheduling model is that of the paper, user disengagement-oriented target enforcement. Each class
 //! records its recent latencies. A distribution fitted to them determines the mean latency that the class may
 //! have, and from that how long its requests may be queued (`latency_model`). Queued requests of
-//! latency-bound classes are sent in order of their due times. They share the slots of a node with background
-//! work: a probability, alpha, decides which of the two a free slot goes to (`slot_split`, `dispatch`).
+//! latency-bound classes are sent in order of their queueing deadlines. They share the slots of a node with
+//! background work: a probability, alpha, decides which of the two a free slot goes to (`slot_split`,
+//! `dispatch`).
 //!
 //! Comments use two marks:
 //!
@@ -147,7 +148,7 @@
         }
         self.expire_requests(actions);
         self.mark_lost_attempts();
-        self.retune();
+        self.refit_models_and_update_alpha();
         self.dispatch(actions);
         self.poll_endpoints(actions);
         self.set_timer(actions);
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -18,8 +18,9 @@
     pub(super) zone: ZoneId,
     pub(super) shard: ShardId,
     pub(super) state: EndpointState,
-    /// The time until which a draining node may be sent work; 0 if it has no grace period.
-    pub(super) drain_until_us: u64,
+    /// The time at which the grace period of a draining node ends; until then the node may be sent work. 0 if
+    /// the node has no grace period.
+    pub(super) drain_grace_ends_at_us: u64,
     /// When the node's process started, according to the endpoint list; `None` if that was long ago.
     pub(super) started_at_us: Option<u64>,
     pub(super) window: ConcurrencyWindow,
@@ -42,9 +43,9 @@
     pub(super) reported_requests: f64,
 }
 
-/// The settings of the deployment by which a node's window is adjusted.
+/// Deployment-wide values that the adjustment of a node's window depends on.
 #[derive(Clone, Copy)]
-pub(super) struct ServiceScale {
+pub(super) struct WindowParameters {
     /// The shortest latency objective of all classes, in microseconds.
     pub(super) tightest_objective_us: f64,
     /// The mean size of a request, in units.
@@ -60,7 +61,7 @@
             zone: endpoint.zone,
             shard: endpoint.shard,
             state: EndpointState::Removed,
-            drain_until_us: 0,
+            drain_grace_ends_at_us: 0,
             started_at_us: endpoint.started_at_us,
             window: ConcurrencyWindow::new(),
             pacing: Pacing::default(),
@@ -102,7 +103,7 @@
     pub(super) fn accepts_work(&self, now_us: u64) -> bool {
         match self.state {
             EndpointState::Ready => true,
-            EndpointState::Draining => now_us < self.drain_until_us,
+            EndpointState::Draining => now_us < self.drain_grace_ends_at_us,
             EndpointState::Removed => false,
         }
     }
@@ -127,8 +128,14 @@
         self.presumed_lost -= u32::from(presumed_lost);
     }
 
-    /// Records that an attempt succeeded, and adjusts the window if that is due.
-    pub(super) fn record_success(&mut self, now_us: u64, latency_us: u64, units: f64, scale: ServiceScale) {
+    /// Records that an attempt succeeded, and adjusts the window, at most once per round trip.
+    pub(super) fn record_success(
+        &mut self,
+        now_us: u64,
+        latency_us: u64,
+        units: f64,
+        parameters: WindowParameters,
+    ) {
         let latency = latency_us as f64;
         let latency_per_unit = latency / units.max(1.0);
         let queueing_delay = (latency - self.service_time_per_unit_us * units).max(0.0);
@@ -140,19 +147,19 @@
         self.successes += 1;
         self.queueing_delay_us += AVERAGING_WEIGHT * (queueing_delay - self.queueing_delay_us);
         self.window.record(latency_per_unit);
-        if !self.window.adjustment_is_due(now_us, self.expected_latency_us(scale.mean_request_units)) {
+        if !self.window.may_be_adjusted(now_us, self.expected_latency_us(parameters.mean_request_units)) {
             return;
         }
         self.service_time_per_unit_us = self.window.update_median(now_us);
-        let expected = self.expected_latency_us(scale.mean_request_units);
+        let expected = self.expected_latency_us(parameters.mean_request_units);
         let exceeds_objective_fraction =
-            expected > WINDOW_SHRINK_OBJECTIVE_FRACTION * scale.tightest_objective_us;
+            expected > WINDOW_SHRINK_OBJECTIVE_FRACTION * parameters.tightest_objective_us;
         self.window.adjust(exceeds_objective_fraction, self.in_flight);
     }
 
     /// Records a failure of the node: its window shrinks to the minimum, and a backoff starts.
     pub(super) fn record_failure(&mut self, now_us: u64, backoff: Backoff) {
-        self.window.collapse();
+        self.window.reset_to_minimum();
         self.health.record_failure(now_us, backoff);
     }
 }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -62,8 +62,8 @@
     pub(super) placement: Placement,
     pub(super) units: f64,
     pub(super) arrived_at_us: u64,
-    /// When the request should be sent: the queueing budget of its class after its arrival.
-    pub(super) due_at_us: u64,
+    /// The time by which the request should be sent: its arrival plus the queueing budget of its class.
+    pub(super) queueing_deadline_us: u64,
     /// When an answer no longer earns the full priority weight.
     pub(super) objective_at_us: u64,
     /// When the client times out.
@@ -93,14 +93,15 @@
         }
     }
 
-    /// Returns whether the scheduler may still choose another shard, because the request writes a new object
-    /// and cannot have run on any node.
-    pub(super) fn may_be_placed_anew(&self) -> bool {
+    /// Returns whether the scheduler may still choose another shard for the request. This is the case if the
+    /// request writes a new object and cannot have run on any node.
+    pub(super) fn may_change_shard(&self) -> bool {
         matches!(self.placement, Placement::AnyShard(_)) && self.possible_execution.is_none()
     }
 
-    /// Returns whether the request has not yet been charged to its volume's rate limit.
-    pub(super) fn owes_rate_limit(&self) -> bool {
+    /// Returns whether the request still has to be charged to its volume's rate limit; false if its plan has
+    /// no rate limit.
+    pub(super) fn is_rate_limit_charge_pending(&self) -> bool {
         self.rate_limit_charge == RateLimitCharge::Pending
     }
 
--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -59,9 +59,9 @@
 }
 
 impl Scheduler {
-    /// Refits the latency models and updates alpha, at most once per duration of the tightest latency
-    /// objective.
-    pub(super) fn retune(&mut self) {
+    /// Refits the latency models of all classes and updates alpha. Does nothing if less time than the tightest
+    /// latency objective has passed since the previous update.
+    pub(super) fn refit_models_and_update_alpha(&mut self) {
         if self.now_us < self.slot_split.updated_at_us + self.tightest_objective_us as u64 {
             return;
         }
--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -91,13 +91,13 @@
         self.own_rate += units / RATE_AVERAGING_TIME_S;
     }
 
-    /// Records that a node served units through other gateways.
-    pub(super) fn record_served_elsewhere(&mut self, units: f64) {
+    /// Records that a node served units to the volume through other gateways.
+    pub(super) fn record_served_via_other_gateways(&mut self, units: f64) {
         self.other_gateways_rate += units / RATE_AVERAGING_TIME_S;
     }
 
     /// Records the volume's total rate over all gateways and nodes, in percent of the provisioned rate.
-    pub(super) fn record_metered(&mut self, percent: f64, plan: &ServicePlan) {
+    pub(super) fn record_metered_rate(&mut self, percent: f64, plan: &ServicePlan) {
         self.other_gateways_rate = (percent / 100.0 * plan.provisioned_rate - self.own_rate).max(0.0);
     }
 
