--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -19,7 +19,7 @@
 /// The address to listen on if none is given.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:9001";
 /// Enough connections for a few gateways.
-const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits { served: 100, rejected: 10 };
+const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits { max_served: 100, max_rejected: 10 };
 
 type NodeResponse = Result<Response<ResponseBody>, ApiError>;
 
@@ -45,7 +45,7 @@
         let (first, last) = match *range {
             ByteRange::Span(first, last) => (first, last.min(end)),
             ByteRange::From(first) => (first, end),
-            ByteRange::Last(count) => (size.saturating_sub(count), end),
+            ByteRange::Suffix(count) => (size.saturating_sub(count), end),
         };
         (first <= last).then_some(first as usize..=last as usize)
     }
@@ -124,7 +124,7 @@
         let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_such_upload)?;
         let listed = parts.iter().map(|(number, part)| ListedPart {
             number: *number,
-            modified: None,
+            last_modified: None,
             etag: part.etag.clone(),
             size: part.bytes.len() as u64,
         });
--- a/src/bin/scheduler-simulator-adapter/replies.rs
+++ b/src/bin/scheduler-simulator-adapter/replies.rs
@@ -34,7 +34,7 @@
         request: u32,
         /// The attempt's index among the request's attempts, from 0.
         #[serde(rename = "shot")]
-        attempt: u32,
+        attempt_index: u32,
         /// The scheduler.
         #[serde(rename = "who")]
         instance: InstanceId,
@@ -106,8 +106,8 @@
             Action::SendAttempt { request, node, timeout_us } => {
                 Reply::SendAttempt { request: request.0, node, timeout_us: timeout_us.unwrap_or(0), instance }
             }
-            Action::CancelAttempt { request, attempt } => {
-                Reply::CancelAttempt { request: request.0, attempt: *attempt, instance }
+            Action::CancelAttempt { request, attempt_index } => {
+                Reply::CancelAttempt { request: request.0, attempt_index: *attempt_index, instance }
             }
             Action::Reject { request, retry_after_us } => {
                 Reply::Reject { retry_after_us: retry_after_us.unwrap_or(0), request: request.0, instance }
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -108,7 +108,7 @@
             descriptors: file.limits.descriptors,
             cached_list: file.cached_list.and_then(decode_cached_list),
             names: name_table(&file.settings, &settings),
-            zones: file.settings.zones(),
+            zones: file.settings.zone_names(),
             node_idle_timeout: node_idle_timeout(&file.settings),
             settings,
         })
@@ -121,10 +121,10 @@
 }
 
 fn name_table(platform_settings: &PlatformSettings, settings: &SchedulerSettings) -> NameTable {
-    let writes = platform_settings.writes();
+    let class_writes = platform_settings.class_writes();
     let named_class = |(index, (name, class)): (usize, (String, &RequestClass))| NamedClass {
         name,
-        writes: writes.get(index).copied(),
+        writes: class_writes.get(index).copied(),
         requires_idempotency_key: matches!(class.idempotency, Idempotency::WithKey { .. }),
     };
     let classes = platform_settings.class_names().into_iter().zip(&settings.classes);
--- a/src/gateway/descriptors.rs
+++ b/src/gateway/descriptors.rs
@@ -57,9 +57,9 @@
 pub fn divide_descriptors(descriptors: usize, timeouts: NodeConnectionTimeouts) -> ConnectionBudget {
     let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DIVIDED_DESCRIPTORS);
     let for_nodes = NODE_FRACTION.of(available);
-    let rejected = REJECTED_CLIENT_FRACTION.of(available);
+    let max_rejected = REJECTED_CLIENT_FRACTION.of(available);
     ConnectionBudget {
-        clients: ConnectionLimits { served: available - for_nodes - rejected, rejected },
+        clients: ConnectionLimits { max_served: available - for_nodes - max_rejected, max_rejected },
         nodes: PoolLimits {
             permits: Arc::new(Semaphore::new(for_nodes)),
             connect_timeout: timeouts.connect,
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -54,7 +54,7 @@
         Some(pool) => pool.execute(build_exchange(router.clone(), attempt, policy)),
         None => router.attempt_ended(
             attempt.request,
-            attempt.number,
+            attempt.index,
             AttemptResult::without_response(AttemptOutcome::ConnectFailed),
         ),
     }
@@ -65,13 +65,13 @@
     attempt: Attempt<P>,
     policy: ResponsePolicy,
 ) -> Exchange {
-    let Attempt { request, number, node: _, payload, deadline, cancelled, interest } = attempt;
+    let Attempt { request, index, node: _, payload, deadline, cancelled, start_permit } = attempt;
     let mut reporter =
-        AttemptReporter { router, request, number, payload: payload.clone(), streamed_head: None };
+        AttemptReporter { router, request, index, payload: payload.clone(), streamed_head: None };
     Exchange {
         build_request: Box::new(move || {
             let time_left = deadline.saturating_duration_since(Instant::now());
-            interest.remains().then(|| payload.encode(time_left))
+            start_permit.is_valid().then(|| payload.encode(time_left))
         }),
         deadline,
         cancelled,
@@ -86,7 +86,8 @@
 struct AttemptReporter<P: AttemptPayload> {
     router: RouterHandle<P, P::Response>,
     request: RequestId,
-    number: u32,
+    /// The attempt's index among the request's attempts, from 0.
+    index: u32,
     payload: Rc<P>,
     /// The head of a response whose body is being streamed.
     streamed_head: Option<NodeResponseHead>,
@@ -106,7 +107,7 @@
             },
             ExchangeEvent::Failed(failure) => AttemptResult::without_response(outcome_of(failure)),
         };
-        self.router.attempt_ended(self.request, self.number, result);
+        self.router.attempt_ended(self.request, self.index, result);
     }
 
     fn report_stream(&mut self, response: Response<StreamedBody>) {
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -55,9 +55,9 @@
 
 fn initiation_body(body: &Bytes, routed: RoutedRequest, upload_key: &UploadKey) -> Result<String, ApiError> {
     let RoutedRequest { tenant, request, rack, .. } = routed;
-    let node_id = decode_initiation_result(body).ok_or_else(ApiError::internal_error)?;
+    let node_upload_id = decode_initiation_result(body).ok_or_else(ApiError::internal_error)?;
     let path = ObjectPath { tenant: &tenant.name, bucket: &request.bucket, key: &request.key };
-    let id = upload_key.sign(path, &Upload { rack, node_id });
+    let id = upload_key.sign(path, &Upload { rack, node_upload_id });
     Ok(encode_initiation_result(&request.bucket, &request.key, &id))
 }
 
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -34,9 +34,9 @@
             }
             _ => body,
         };
-        let node_upload = self.upload.as_ref().map(|upload| upload.node_id.as_str());
+        let node_upload_id = self.upload.as_ref().map(|upload| upload.node_upload_id.as_str());
         let mut node_request =
-            NodeRequest::new(&self.request, &self.tenant.name, node_upload, &self.headers, body);
+            NodeRequest::new(&self.request, &self.tenant.name, node_upload_id, &self.headers, body);
         let headers = &mut node_request.headers;
         headers.insert(HOST, DEFAULT_HOST);
         headers.insert(REQUEST_ID, header_value(request_id.into()));
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -67,7 +67,7 @@
         let may_stream = payload.request.may_stream;
         StreamingRule {
             min_body_len: self.limits.response_buffer_len,
-            accepts: Box::new(move |status, headers| {
+            accepts_head: Box::new(move |status, headers| {
                 may_stream && status.is_success() && payload.accepts_response(status, headers)
             }),
         }
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -26,7 +26,7 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 /// Connections to the administration API: enough for a few operators and their tools.
-const ADMIN_CONNECTIONS: ConnectionLimits = ConnectionLimits { served: 16, rejected: 4 };
+const ADMIN_CONNECTIONS: ConnectionLimits = ConnectionLimits { max_served: 16, max_rejected: 4 };
 
 /// Starts the gateway's actors and its servers.
 ///
@@ -71,7 +71,7 @@
 }
 
 fn connection_budget(config: &ObjectGatewayConfig) -> ConnectionBudget {
-    let for_administration = ADMIN_CONNECTIONS.served + ADMIN_CONNECTIONS.rejected;
+    let for_administration = ADMIN_CONNECTIONS.max_served + ADMIN_CONNECTIONS.max_rejected;
     let timeouts = NodeConnectionTimeouts {
         connect: Duration::from_micros(config.settings.connect_timeout_us),
         node_idle: config.node_idle_timeout,
--- a/src/protocol/object/range/mod.rs
+++ b/src/protocol/object/range/mod.rs
@@ -10,8 +10,8 @@
     Span(u64, u64),
     /// From this offset to the end of the object.
     From(u64),
-    /// This many bytes at the end of the object.
-    Last(u64),
+    /// This many bytes at the end of the object (a suffix range).
+    Suffix(u64),
 }
 
 impl ByteRange {
@@ -23,7 +23,7 @@
             return None;
         }
         match range.trim().split_once('-')? {
-            ("", count) => Some(ByteRange::Last(parse_digits(count)?)),
+            ("", count) => Some(ByteRange::Suffix(parse_digits(count)?)),
             (first, "") => Some(ByteRange::From(parse_digits(first)?)),
             (first, last) => {
                 let (first, last) = (parse_digits(first)?, parse_digits(last)?);
@@ -37,7 +37,7 @@
         match self {
             ByteRange::Span(first, last) => format!("bytes={first}-{last}"),
             ByteRange::From(first) => format!("bytes={first}-"),
-            ByteRange::Last(count) => format!("bytes=-{count}"),
+            ByteRange::Suffix(count) => format!("bytes=-{count}"),
         }
     }
 
@@ -46,7 +46,7 @@
         match self {
             ByteRange::Span(first, last) => Some((last - first).saturating_add(1)),
             ByteRange::From(_) => None,
-            ByteRange::Last(count) => Some(*count),
+            ByteRange::Suffix(count) => Some(*count),
         }
     }
 
@@ -70,7 +70,7 @@
                 first == from && (last == to || is_limited_by_object)
             }
             ByteRange::From(from) => first == from && content.reaches_end(),
-            ByteRange::Last(count) => {
+            ByteRange::Suffix(count) => {
                 let starts_at = |total: u64| first == total.saturating_sub(count);
                 content.reaches_end() && total.is_none_or(starts_at)
             }
--- a/src/protocol/object/upload/mod.rs
+++ b/src/protocol/object/upload/mod.rs
@@ -29,8 +29,8 @@
 pub struct Upload {
     /// Name of the rack that stores the parts.
     pub rack: String,
-    /// The storage node's id of the upload.
-    pub node_id: String,
+    /// The id that the storage node assigned to the upload.
+    pub node_upload_id: String,
 }
 
 impl UploadKey {
@@ -44,7 +44,7 @@
 
     /// Returns the upload id for the client, which is valid only for this object.
     pub fn sign(&self, path: ObjectPath, upload: &Upload) -> String {
-        let payload = URL_SAFE_NO_PAD.encode(format!("{}\n{}", upload.rack, upload.node_id));
+        let payload = URL_SAFE_NO_PAD.encode(format!("{}\n{}", upload.rack, upload.node_upload_id));
         let mac = URL_SAFE_NO_PAD.encode(self.mac(path, &payload).finalize().into_bytes());
         format!("{payload}.{mac}")
     }
@@ -56,8 +56,8 @@
         let mac = URL_SAFE_NO_PAD.decode(mac).ok()?;
         self.mac(path, payload).verify_slice(&mac).ok()?;
         let text = String::from_utf8(URL_SAFE_NO_PAD.decode(payload).ok()?).ok()?;
-        let (rack, node_id) = text.split_once('\n')?;
-        Some(Upload { rack: rack.into(), node_id: node_id.into() })
+        let (rack, node_upload_id) = text.split_once('\n')?;
+        Some(Upload { rack: rack.into(), node_upload_id: node_upload_id.into() })
     }
 
     fn mac(&self, path: ObjectPath, payload: &str) -> Hmac<Sha256> {
--- a/src/protocol/object/upload/tests.rs
+++ b/src/protocol/object/upload/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn an_upload_id_is_valid_only_for_its_tenant_bucket_and_key() {
     let key = UploadKey::new(b"sixteen bytes or more").unwrap();
-    let upload = Upload { rack: "r1".into(), node_id: "abc/def".into() };
+    let upload = Upload { rack: "r1".into(), node_upload_id: "abc/def".into() };
     let path = ObjectPath { tenant: "uni", bucket: "dossiers", key: "a/b" };
     let id = key.sign(path, &upload);
     assert_eq!(key.verify(path, &id), Some(upload.clone()));
--- a/src/protocol/object/xml.rs
+++ b/src/protocol/object/xml.rs
@@ -68,7 +68,7 @@
     pub number: u32,
     /// Time at which the part was stored, as the storage node formats it; `None` if not reported.
     #[serde(rename = "LastModified", skip_serializing_if = "Option::is_none")]
-    pub modified: Option<String>,
+    pub last_modified: Option<String>,
     /// Entity tag of the part.
     #[serde(rename = "ETag")]
     pub etag: String,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -15,7 +15,7 @@
 #[serde(rename_all = "camelCase", default)]
 pub struct PlatformSettings {
     #[serde(rename = "azs")]
-    zones: Vec<String>,
+    zone_names: Vec<String>,
     #[serde(rename = "balancers")]
     gateway_count: usize,
     classes: Vec<WireClass>,
@@ -268,13 +268,13 @@
 
     /// Returns whether the requests of each class are writes, ordered by class index. Shorter than the list
     /// of classes, or empty, if the settings do not specify this for all classes.
-    pub fn writes(&self) -> Vec<bool> {
+    pub fn class_writes(&self) -> Vec<bool> {
         self.workload.class_writes.clone()
     }
 
     /// Returns the names of the zones, ordered by zone number.
-    pub fn zones(&self) -> Vec<String> {
-        self.zones.clone()
+    pub fn zone_names(&self) -> Vec<String> {
+        self.zone_names.clone()
     }
 
     /// Returns the time after which a storage node closes an idle connection, in microseconds; `None` if the
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -22,7 +22,7 @@
     /// The id of the request.
     pub request: RequestId,
     /// The attempt's index among the request's attempts, from 0.
-    pub number: u32,
+    pub index: u32,
     /// The storage node that the attempt is sent to.
     pub node: NodeId,
     /// The payload that the front end submitted with the request; shared by all attempts at it.
@@ -31,28 +31,30 @@
     pub deadline: Instant,
     /// Resolves when the attempt is cancelled, always with an error, because the sender is dropped.
     pub cancelled: oneshot::Receiver<()>,
-    /// Whether the attempt may still start.
-    pub interest: ClientInterest,
+    /// Valid as long as the attempt may still start; must be checked before the request is sent.
+    pub start_permit: StartPermit,
 }
 
-/// Whether a request still needs an answer: it has no final answer yet, and its client is still connected.
+/// The permit to start attempts at a request. It is valid until the request has its final answer or its
+/// client has disconnected.
 ///
-/// The transport checks this once the connection for an attempt is established. Connecting may have taken
-/// long, and an attempt must not start if the client has disconnected meanwhile.
+/// The transport checks the permit once the connection for an attempt is established. Connecting may have
+/// taken long, and an attempt must not start if the client has disconnected meanwhile.
 #[derive(Clone, Debug)]
-pub struct ClientInterest(Rc<Cell<bool>>);
+pub struct StartPermit(Rc<Cell<bool>>);
 
-impl ClientInterest {
+impl StartPermit {
     pub(super) fn new() -> Self {
-        ClientInterest(Rc::new(Cell::new(true)))
+        StartPermit(Rc::new(Cell::new(true)))
     }
 
     pub(super) fn revoke(&self) {
         self.0.set(false);
     }
 
-    /// Returns whether an attempt may still start.
-    pub fn remains(&self) -> bool {
+    /// Returns whether an attempt may still start: the request has no final answer, and its client is still
+    /// connected.
+    pub fn is_valid(&self) -> bool {
         self.0.get()
     }
 }
--- a/src/routing/handle.rs
+++ b/src/routing/handle.rs
@@ -1,6 +1,6 @@
 //! The handle through which other tasks send commands to the router.
 
-use super::pending::PendingResponse;
+use super::pending::PendingAnswer;
 use super::router::Command;
 use super::{AttemptResult, FinalAnswer};
 use crate::scheduler::{EndpointUpdate, IncomingRequest, RequestId};
@@ -28,11 +28,11 @@
 
     /// Submits a request, whose id must come from [`next_request_id`](Self::next_request_id). The request is
     /// answered no later than `request.expires_at_us` plus the settings' `answer_grace_us`.
-    pub fn submit(&self, request: IncomingRequest, payload: P) -> PendingResponse<P, R> {
+    pub fn submit(&self, request: IncomingRequest, payload: P) -> PendingAnswer<P, R> {
         let id = request.id;
         let (responder, answer) = oneshot::channel::<FinalAnswer<R>>();
         self.send(Command::Submit { request, payload, responder });
-        PendingResponse::new(id, answer, self.clone())
+        PendingAnswer::new(id, answer, self.clone())
     }
 
     /// Returns the id for a request that is about to be submitted. Ids wrap around after 2^32 requests, so
@@ -49,9 +49,9 @@
         self.send(Command::ResponseStarted { request, response });
     }
 
-    /// Reports the end of an attempt. A report is ignored if the attempt with this number is not in flight.
-    pub fn attempt_ended(&self, request: RequestId, attempt: u32, result: AttemptResult<R>) {
-        self.send(Command::AttemptEnded { request, attempt, result });
+    /// Reports the end of an attempt. A report is ignored if the attempt with this index is not in flight.
+    pub fn attempt_ended(&self, request: RequestId, attempt_index: u32, result: AttemptResult<R>) {
+        self.send(Command::AttemptEnded { request, attempt_index, result });
     }
 
     /// Reports an update of the endpoint list, or a failed poll.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -13,11 +13,11 @@
 mod pending;
 mod router;
 
-pub use attempt::{Attempt, AttemptResult, AttemptTransport, ClientInterest};
+pub use attempt::{Attempt, AttemptResult, AttemptTransport, StartPermit};
 pub use clock::Clock;
 pub use handle::RouterHandle;
 pub use metrics::{Counter, RequestMetrics};
-pub use pending::PendingResponse;
+pub use pending::PendingAnswer;
 pub use router::RequestRouter;
 
 /// The final answer to a request.
--- a/src/routing/pending.rs
+++ b/src/routing/pending.rs
@@ -9,24 +9,24 @@
 
 /// Resolves with the final answer to a request, or with [`FinalAnswer::Failed`] if the router has stopped. If
 /// dropped before it resolves, notifies the router that the client has disconnected.
-pub struct PendingResponse<P, R> {
+pub struct PendingAnswer<P, R> {
     request: RequestId,
     answer: oneshot::Receiver<FinalAnswer<R>>,
     router: RouterHandle<P, R>,
     answered: bool,
 }
 
-impl<P, R> PendingResponse<P, R> {
+impl<P, R> PendingAnswer<P, R> {
     pub(super) fn new(
         request: RequestId,
         answer: oneshot::Receiver<FinalAnswer<R>>,
         router: RouterHandle<P, R>,
     ) -> Self {
-        PendingResponse { request, answer, router, answered: false }
+        PendingAnswer { request, answer, router, answered: false }
     }
 }
 
-impl<P, R> Future for PendingResponse<P, R> {
+impl<P, R> Future for PendingAnswer<P, R> {
     type Output = FinalAnswer<R>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<FinalAnswer<R>> {
@@ -36,7 +36,7 @@
     }
 }
 
-impl<P, R> Drop for PendingResponse<P, R> {
+impl<P, R> Drop for PendingAnswer<P, R> {
     fn drop(&mut self) {
         if !self.answered {
             self.router.client_disconnected(self.request);
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,8 +1,7 @@
 //! The router: the actor that owns the scheduler and all requests in flight.
 
 use super::{
-    Attempt, AttemptResult, AttemptTransport, ClientInterest, Clock, FinalAnswer, RequestMetrics,
-    RouterHandle,
+    Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, RequestMetrics, RouterHandle, StartPermit,
 };
 use crate::scheduler::{
     Action, AttemptOutcome, AttemptReport, EndpointUpdate, Event, IncomingRequest, NodeId, RequestId,
@@ -23,7 +22,7 @@
     Submit { request: IncomingRequest, payload: P, responder: oneshot::Sender<FinalAnswer<R>> },
     ClientDisconnected(RequestId),
     ResponseStarted { request: RequestId, response: R },
-    AttemptEnded { request: RequestId, attempt: u32, result: AttemptResult<R> },
+    AttemptEnded { request: RequestId, attempt_index: u32, result: AttemptResult<R> },
     EndpointsUpdated(EndpointUpdate),
 }
 
@@ -32,18 +31,19 @@
     payload: Rc<P>,
     /// Sends the final answer; `None` once the request has been answered or its client has disconnected.
     responder: Option<oneshot::Sender<FinalAnswer<R>>>,
-    interest: ClientInterest,
+    start_permit: StartPermit,
     expires_at_us: u64,
     /// The number of attempts handed to the transport, which is also the index of the next attempt. The
-    /// scheduler's attempt numbers agree with it: the scheduler also counts an attempt that was not handed
-    /// over, but such an attempt is always the last one for its request.
+    /// scheduler's indexes are the same, although the scheduler also counts an attempt that was not handed
+    /// over: such an attempt is always the last one for its request.
     attempts_started: u32,
     /// The attempt in flight; the scheduler sends at most one at a time for each request.
     attempt: Option<InFlightAttempt>,
 }
 
 struct InFlightAttempt {
-    number: u32,
+    /// The attempt's index among the request's attempts, from 0.
+    index: u32,
     node: NodeId,
     sent_at_us: u64,
     /// Dropping the sender cancels the attempt; `None` once it has been cancelled.
@@ -156,8 +156,8 @@
                 self.answer(request, FinalAnswer::Served(response));
                 Some(Event::ResponseStarted(request))
             }
-            Command::AttemptEnded { request, attempt, result } => {
-                self.end_attempt(request, attempt, result, now_us)
+            Command::AttemptEnded { request, attempt_index, result } => {
+                self.end_attempt(request, attempt_index, result, now_us)
             }
             Command::EndpointsUpdated(update) => Some(Event::EndpointsUpdated(update)),
         }
@@ -173,7 +173,7 @@
         let entry = InFlightRequest {
             payload: Rc::new(payload),
             responder: Some(responder),
-            interest: ClientInterest::new(),
+            start_permit: StartPermit::new(),
             expires_at_us: request.expires_at_us,
             attempts_started: 0,
             attempt: None,
@@ -185,12 +185,12 @@
     fn end_attempt(
         &mut self,
         request: RequestId,
-        attempt: u32,
+        attempt_index: u32,
         mut result: AttemptResult<R>,
         now_us: u64,
     ) -> Option<Event> {
         let entry = self.requests.get_mut(&request)?;
-        let ended = entry.attempt.take_if(|in_flight| in_flight.number == attempt)?;
+        let ended = entry.attempt.take_if(|in_flight| in_flight.index == attempt_index)?;
         self.metrics.count_attempt(result.outcome);
         if let Some(response) = result.response.take().filter(|_| result.outcome == AttemptOutcome::Succeeded)
         {
@@ -233,7 +233,7 @@
             Action::SendAttempt { request, node, timeout_us } => {
                 return self.send_attempt(request, node, timeout_us, now_us, transport);
             }
-            Action::CancelAttempt { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::CancelAttempt { request, attempt_index } => self.cancel_attempt(request, attempt_index),
             Action::Reject { request, retry_after_us } => {
                 self.answer(request, FinalAnswer::Rejected { retry_after_us });
                 self.remove_if_complete(request);
@@ -268,39 +268,39 @@
             return Some(self.attempt_ended_event(request, node, now_us, &result, now_us));
         };
         self.metrics.attempts_sent.increment();
-        let number = entry.attempts_started;
+        let index = entry.attempts_started;
         entry.attempts_started += 1;
         let (cancel, cancelled) = oneshot::channel();
         entry.attempt =
-            Some(InFlightAttempt { number, node: node.clone(), sent_at_us: now_us, cancel: Some(cancel) });
+            Some(InFlightAttempt { index, node: node.clone(), sent_at_us: now_us, cancel: Some(cancel) });
         let expires_at_us = entry.expires_at_us;
         let deadline_us =
             timeout_us.map_or(expires_at_us, |timeout_us| expires_at_us.min(now_us + timeout_us));
         transport.start(Attempt {
             request,
-            number,
+            index,
             node,
             payload: entry.payload.clone(),
             deadline: self.clock.instant_at(deadline_us),
             cancelled,
-            interest: entry.interest.clone(),
+            start_permit: entry.start_permit.clone(),
         });
         None
     }
 
-    fn cancel_attempt(&mut self, request: RequestId, number: u32) {
+    fn cancel_attempt(&mut self, request: RequestId, attempt_index: u32) {
         let attempt = self.requests.get_mut(&request).and_then(|entry| entry.attempt.as_mut());
-        if let Some(attempt) = attempt.filter(|attempt| attempt.number == number) {
+        if let Some(attempt) = attempt.filter(|attempt| attempt.index == attempt_index) {
             attempt.cancel = None;
         }
     }
 
-    /// Takes the sender for the final answer, and revokes the permission to start attempts at the request.
+    /// Takes the sender for the final answer, and revokes the permit to start attempts at the request.
     /// Returns `None` if the request has already been answered, its client has disconnected, or it is
     /// unknown.
     fn take_responder(&mut self, request: RequestId) -> Option<oneshot::Sender<FinalAnswer<R>>> {
         let entry = self.requests.get_mut(&request)?;
-        entry.interest.revoke();
+        entry.start_permit.revoke();
         entry.responder.take()
     }
 
--- a/src/scheduler/action.rs
+++ b/src/scheduler/action.rs
@@ -18,8 +18,8 @@
     CancelAttempt {
         /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number among those of the request, from 0.
-        attempt: u32,
+        /// The attempt's index among the request's attempts, from 0.
+        attempt_index: u32,
     },
     /// Give the client a rejection as the final answer: the request had no effect, or repeating it is
     /// harmless.
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -24,18 +24,18 @@
     /// A response is streamed only if its `Content-Length` exceeds this, in bytes. A response without
     /// `Content-Length` is never streamed.
     pub min_body_len: u64,
-    /// A response is streamed only if this accepts its head.
-    pub accepts: Box<HeadPredicate>,
+    /// A response is streamed only if this predicate accepts its status and headers.
+    pub accepts_head: Box<HeadPredicate>,
 }
 
 impl StreamingRule {
     /// Creates a rule by which no response is streamed.
     pub fn never() -> Self {
-        StreamingRule { min_body_len: 0, accepts: Box::new(|_, _| false) }
+        StreamingRule { min_body_len: 0, accepts_head: Box::new(|_, _| false) }
     }
 
     fn applies(&self, body_len: u64, status: StatusCode, headers: &HeaderMap) -> bool {
-        body_len > self.min_body_len && (self.accepts)(status, headers)
+        body_len > self.min_body_len && (self.accepts_head)(status, headers)
     }
 }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -25,9 +25,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     /// Maximum number of connections whose requests are served.
-    pub served: usize,
+    pub max_served: usize,
     /// Maximum number of additional connections, whose requests are rejected because of overload.
-    pub rejected: usize,
+    pub max_rejected: usize,
 }
 
 /// An accepted connection and its permit, which limits the number of open connections.
@@ -50,8 +50,8 @@
     F: Future<Output = Response<ResponseBody>> + 'static,
 {
     let service = Rc::new(service);
-    let table = Rc::new(ConnectionTable::new(limits.served));
-    let permits = Arc::new(Semaphore::new(limits.served + limits.rejected));
+    let table = Rc::new(ConnectionTable::new(limits.max_served));
+    let permits = Arc::new(Semaphore::new(limits.max_served + limits.max_rejected));
     let mut connections = JoinSet::new();
     let mut draining = pin!(wait_for_draining(phase.clone()));
     loop {
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -185,7 +185,7 @@
         let actions = deliver(&mut scheduler, 20_000, &disconnects);
         let is_cancellation = |action: &&Action| matches!(action, Action::CancelAttempt { .. });
         let cancellations: Vec<_> = actions.iter().filter(is_cancellation).collect();
-        let expected = Action::CancelAttempt { request: RequestId(1), attempt: 0 };
+        let expected = Action::CancelAttempt { request: RequestId(1), attempt_index: 0 };
         assert_eq!(cancellations, if cancellation { vec![&expected] } else { vec![] });
     }
 }
--- a/tests/request_router.rs
+++ b/tests/request_router.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use storage_gateway::routing::{
-    Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, PendingResponse, RequestMetrics,
+    Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, PendingAnswer, RequestMetrics,
     RequestRouter, RouterHandle,
 };
 use storage_gateway::scheduler::{AttemptOutcome, EndpointState, EndpointUpdate};
@@ -45,7 +45,7 @@
     }
 
     /// Submits a request that expires after 900 ms.
-    fn submit(&self, class: usize, shard: u32) -> PendingResponse<&'static str, u32> {
+    fn submit(&self, class: usize, shard: u32) -> PendingAnswer<&'static str, u32> {
         let expires_at_us = self.clock.now_us() + 900_000;
         self.router.submit(incoming_request(0, class, shard, expires_at_us), "payload")
     }
@@ -72,13 +72,13 @@
     with_router(|fixture| async move {
         let pending = fixture.submit(0, 1);
         let attempt = fixture.next_attempt().await;
-        assert_eq!((*attempt.payload, attempt.number), ("payload", 0));
+        assert_eq!((*attempt.payload, attempt.index), ("payload", 0));
         for response in [7, 8] {
             let result = AttemptResult {
                 response: Some(response),
                 ..AttemptResult::without_response(AttemptOutcome::Succeeded)
             };
-            fixture.router.attempt_ended(attempt.request, attempt.number, result);
+            fixture.router.attempt_ended(attempt.request, attempt.index, result);
         }
         assert!(matches!(pending.await, FinalAnswer::Served(7)));
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -131,7 +131,7 @@
         assert!(matches!(pending.await, FinalAnswer::Served(5)));
         tokio::time::sleep(Duration::from_secs(3)).await;
         let reset = AttemptResult::without_response(AttemptOutcome::ConnectionReset);
-        fixture.router.attempt_ended(attempt.request, attempt.number, reset);
+        fixture.router.attempt_ended(attempt.request, attempt.index, reset);
         tokio::time::sleep(Duration::from_millis(10)).await;
         assert!(fixture.attempts.borrow().is_empty(), "no attempt may follow a response that has started");
         assert_eq!((fixture.metrics.served.get(), fixture.metrics.failed.get()), (1, 0));
