--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -59,8 +59,8 @@
 }
 
 impl Scheduler {
-    /// Refits the latency models of all classes and updates alpha. Does nothing if the previous update is
-    /// more recent than the duration of the tightest latency objective.
+    /// Refits the latency models of all classes and updates alpha. Does nothing until the duration of the
+    /// tightest latency objective has passed since the previous update.
     pub(super) fn refit_models_and_update_alpha(&mut self) {
         if self.now_us < self.slot_split.updated_at_us + self.tightest_objective_us as u64 {
             return;
