--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -1,9 +1,9 @@
-//! Builders of settings, endpoints, requests, reports and events, with defaults that suit most tests.
+//! Builders of settings, endpoints, requests, reports and events, with default values for most fields.
 
 use super::{SECOND, TICK};
 use storage_gateway::scheduler::*;
 
-/// A request class whose late answers earn a tenth of its weight.
+/// Returns a request class in which an answer past the latency objective earns a tenth of the priority weight.
 pub fn class(
     latency_objective_us: u64,
     deadline_us: u64,
@@ -21,10 +21,11 @@
     }
 }
 
-/// Settings with every rule in force, for three gateways.
+/// Returns settings for three gateways, with all rules of the platform enabled.
 ///
-/// Class 0 is idempotent; class 1 carries an idempotency key that the nodes of one shard recognize; class 2
-/// is not idempotent and ordered by key. Plan 0 has a rate limit, plan 1 a reservation.
+/// Class 0 is idempotent. Requests of class 1 have an idempotency key, which the nodes of one shard recognize
+/// for one second. Class 2 is not idempotent, and its requests are ordered by key. Plan 0 has a rate limit and
+/// no reservation; plan 1 has a reservation and no rate limit.
 pub fn settings() -> SchedulerSettings {
     SchedulerSettings {
         classes: classes(),
@@ -78,7 +79,8 @@
     vec![plan(0.0, 1.0, Some(limit)), plan(6.0, 3.0, None)]
 }
 
-/// An endpoint in zone 0 or 1; its node started at the given time, or long ago if that is 0.
+/// Returns an endpoint of the shard, in zone 0 or 1. Its node started at the given time, or long ago if that
+/// is 0.
 pub fn endpoint(name: &str, shard: u32, state: EndpointState, started_at_us: u64) -> Endpoint {
     Endpoint {
         node: name.into(),
@@ -89,7 +91,7 @@
     }
 }
 
-/// The nodes n0, n1 and so on, one for each shard, all in service for long.
+/// Returns ready endpoints named n0, n1 and so on, one per shard. Their nodes started long ago.
 pub fn ready_endpoints(count: u32) -> Vec<Endpoint> {
     (0..count).map(|shard| endpoint(&format!("n{shard}"), shard, EndpointState::Ready, 0)).collect()
 }
@@ -110,7 +112,7 @@
     Event::EndpointsUpdated(EndpointUpdate::PollFailed)
 }
 
-/// A request for a block and of a volume of its own, with plan 1.
+/// Returns a request of plan 1, for a volume and a block that no request with another number uses.
 pub fn incoming_request(id: u32, class: usize, shard: u32, expires_at_us: u64) -> IncomingRequest {
     IncomingRequest {
         id: RequestId(id),
@@ -129,7 +131,7 @@
     Event::RequestArrived(incoming_request(id, class, shard, expires_at_us))
 }
 
-/// The end of an attempt; only a success completes its request.
+/// Returns the report of an ended attempt. Only a success completes the request.
 pub fn attempt_report(request: u32, node: &str, outcome: AttemptOutcome, latency_us: u64) -> AttemptReport {
     AttemptReport {
         request: RequestId(request),
@@ -154,13 +156,13 @@
     actions
 }
 
-/// One scheduler for each gateway, seeded with the gateway's number plus `seed_offset`.
+/// Returns one scheduler per gateway, each seeded with the gateway's number plus `seed_offset`.
 pub fn schedulers(settings: &SchedulerSettings, seed_offset: u64, now_us: u64) -> Vec<Scheduler> {
     let new = |index| scheduler(settings, index, index as u64 + seed_offset, now_us);
     (0..settings.gateway_count).map(new).collect()
 }
 
-/// The scheduler of one gateway of the fleet.
+/// Returns the scheduler of the gateway with this number.
 pub fn scheduler(settings: &SchedulerSettings, gateway_index: usize, seed: u64, now_us: u64) -> Scheduler {
     Scheduler::new(SchedulerSettings { gateway_index, ..settings.clone() }, seed, now_us)
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of gateways in front of the same storage nodes, on a clock that a test advances by hand.
+//! A simulated fleet of gateways in front of the same storage nodes. Tests advance its clock explicitly.
 
 use super::{
     SECOND, TICK, attempt_report, incoming_request, poll_failed, ready_endpoints, scheduler, schedulers,
@@ -6,37 +6,38 @@
 use std::collections::BTreeMap;
 use storage_gateway::scheduler::*;
 
-/// When the simulation begins.
+/// Time at which the simulation starts.
 pub const SIMULATION_START_US: u64 = 1_000 * SECOND;
 
-/// The seed of the first gateway's scheduler; those of the others follow on it.
+/// Seed of the first gateway's scheduler. The seed of each further gateway is higher by one.
 pub const SEED_OFFSET: u64 = 7;
 
-/// Which kind of update a list of endpoints makes.
+/// Makes one kind of update from a list of endpoints: a snapshot, a delta or a cached list.
 pub type UpdateKind = fn(Vec<Endpoint>) -> EndpointUpdate;
 
-/// An attempt of a request that the fleet keeps track of.
+/// An attempt of a tracked request.
 #[derive(Clone, Debug)]
 pub struct TrackedAttempt {
     pub node: NodeId,
     pub sent_at_us: u64,
     pub shard: ShardId,
-    /// False once the outcome proves that the attempt never ran.
+    /// False if the outcome proves that the node did not run the request.
     pub may_have_run: bool,
     pub in_flight: bool,
 }
 
-/// A request and what has become of it.
+/// A submitted request with its attempts.
 #[derive(Clone, Debug)]
 pub struct TrackedRequest {
     pub gateway: usize,
     pub request: IncomingRequest,
     pub arrived_at_us: u64,
+    /// Whether the request has its final answer or its client has disconnected.
     pub finished: bool,
     pub attempts: Vec<TrackedAttempt>,
 }
 
-/// An attempt as a scheduler sent it.
+/// An attempt, as sent by a scheduler.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub at_us: u64,
@@ -54,36 +55,37 @@
     pub sent_at_us: u64,
 }
 
-/// A timer that a scheduler has set.
+/// A timer that a scheduler has set and that has not fired.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingTimer {
     pub gateway: usize,
-    pub due_at_us: u64,
+    pub fires_at_us: u64,
     pub token: u64,
 }
 
-/// What the endpoint lists last said of a node.
+/// The properties of a node in the latest endpoint update that listed it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedNode {
     pub shard: ShardId,
     pub started_at_us: Option<u64>,
 }
 
-/// A retry, for the rule on the retry budget.
+/// A retry that counts towards the retry budget of its gateway.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Retry {
     pub at_us: u64,
     pub gateway: usize,
 }
 
-/// The token bucket of a volume, for the rule on rate limits.
+/// The token bucket by which the rate limit of a volume is checked, over all gateways.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VolumeBucket {
-    pub units: f64,
-    pub filled_at_us: u64,
+    /// Tokens in units; negative while the volume uses its overdraft.
+    pub tokens: f64,
+    pub updated_at_us: u64,
 }
 
-/// Several gateways in front of the same nodes. Every action of theirs is checked against the rules.
+/// Several gateways in front of the same nodes. Each of their actions is checked against the rules.
 pub struct SimulatedFleet {
     pub settings: SchedulerSettings,
     pub now_us: u64,
@@ -92,18 +94,19 @@
     pub sent: Vec<SentAttempt>,
     pub rejected: Vec<u32>,
     pub failed: Vec<u32>,
-    /// When a gateway began to watch the endpoint list.
+    /// Times at which gateways started to watch the endpoint list, over all gateways.
     pub watches_at_us: Vec<u64>,
-    /// How long after its announcement a draining node may be sent work.
+    /// How long a node may still be sent work after it was announced as draining.
     pub drain_grace_us: u64,
     pub(super) timers: Vec<PendingTimer>,
     pub(super) nodes: BTreeMap<NodeId, ListedNode>,
-    /// Since when a gateway has known that a node drains or is gone.
+    /// Time at which a gateway was notified that a node is draining or gone.
     pub(super) unavailable_since_us: BTreeMap<(usize, NodeId), u64>,
     pub(super) retries: Vec<Retry>,
     pub(super) volume_buckets: BTreeMap<VolumeId, VolumeBucket>,
-    /// Until when a gateway must let an ordered block rest.
-    pub(super) block_rests_until_us: BTreeMap<(usize, BlockId), u64>,
+    /// Time before which a gateway must not send the next request for an ordered block.
+    pub(super) ordering_gap_ends_at_us: BTreeMap<(usize, BlockId), u64>,
+    /// Events for each gateway's next batch.
     queued_events: Vec<Vec<Event>>,
 }
 
@@ -126,18 +129,19 @@
             unavailable_since_us: BTreeMap::new(),
             retries: Vec::new(),
             volume_buckets: BTreeMap::new(),
-            block_rests_until_us: BTreeMap::new(),
+            ordering_gap_ends_at_us: BTreeMap::new(),
         }
     }
 
-    /// A fleet whose gateways are about to be notified of this many ready nodes, from their cached lists.
+    /// Returns a fleet whose gateways receive a cached list of this many ready nodes in their first batch.
     pub fn with_ready_nodes(settings: SchedulerSettings, node_count: u32) -> Self {
         let mut fleet = SimulatedFleet::new(settings);
         fleet.update_endpoints_everywhere(EndpointUpdate::Cached, &ready_endpoints(node_count));
         fleet
     }
 
-    /// A fleet without slow start and retry budget whose gateways know this many nodes.
+    /// Returns a fleet without slow start and retry budget, whose gateways have received a list of this many
+    /// ready nodes.
     pub fn unrestricted(gateway_count: usize, node_count: u32) -> Self {
         let settings =
             SchedulerSettings { gateway_count, slow_start: None, retry_budget: None, ..super::settings() };
@@ -154,7 +158,7 @@
     pub fn update_endpoints(&mut self, gateway: usize, kind: UpdateKind, endpoints: &[Endpoint]) {
         let update = kind(endpoints.to_vec());
         if matches!(update, EndpointUpdate::Snapshot(_) | EndpointUpdate::Cached(_)) {
-            self.note_removal_of_unlisted(gateway, endpoints);
+            self.record_removal_of_unlisted(gateway, endpoints);
         }
         for endpoint in endpoints {
             let listed = ListedNode { shard: endpoint.shard, started_at_us: endpoint.started_at_us };
@@ -169,7 +173,7 @@
         self.notify(gateway, Event::EndpointsUpdated(update));
     }
 
-    fn note_removal_of_unlisted(&mut self, gateway: usize, endpoints: &[Endpoint]) {
+    fn record_removal_of_unlisted(&mut self, gateway: usize, endpoints: &[Endpoint]) {
         let listed = |node: &NodeId| endpoints.iter().any(|endpoint| endpoint.node == *node);
         for node in self.nodes.keys().filter(|node| !listed(node)) {
             self.unavailable_since_us.entry((gateway, node.clone())).or_insert(self.now_us);
@@ -182,14 +186,14 @@
         }
     }
 
-    /// Every gateway's poll of the endpoint list fails.
+    /// Notifies every gateway that its poll of the endpoint list has failed.
     pub fn fail_polls(&mut self) {
         for gateway in 0..self.gateways.len() {
             self.notify(gateway, poll_failed());
         }
     }
 
-    /// A request arrives at the gateway.
+    /// Queues the arrival of a request at the gateway, and tracks the request.
     pub fn submit(&mut self, gateway: usize, request: IncomingRequest) {
         let tracked = TrackedRequest {
             gateway,
@@ -202,13 +206,13 @@
         self.notify(gateway, Event::RequestArrived(request));
     }
 
-    /// A request of the class for data of the shard arrives at gateway 0, with the deadline of its class.
+    /// Submits a request for data of the shard at gateway 0. It expires at the deadline of its class.
     pub fn submit_to_shard(&mut self, id: u32, class: usize, shard: u32) {
         let expires_at_us = self.now_us + self.settings.classes[class].deadline_us;
         self.submit(0, incoming_request(id, class, shard, expires_at_us));
     }
 
-    /// A request of the class and of the volume arrives at gateway 0, for shard 0, with the deadline of its
+    /// Submits a request of the volume, for data of shard 0, at gateway 0. It expires at the deadline of its
     /// class.
     pub fn submit_from_volume(&mut self, id: u32, class: usize, volume: u64) {
         let expires_at_us = self.now_us + self.settings.classes[class].deadline_us;
@@ -216,12 +220,13 @@
         self.submit(0, IncomingRequest { volume: VolumeId(volume), ..request });
     }
 
-    /// As `submit_from_volume`, of a volume of its own.
+    /// Like `submit_from_volume`, with a volume that has the same number as the request.
     pub fn submit_of_class(&mut self, id: u32, class: usize) {
         self.submit_from_volume(id, class, u64::from(id));
     }
 
-    /// Requests of class 0, one at a time, each answered after the latency and followed by a pause.
+    /// Submits requests of class 0 one at a time. Each is answered after the latency, and the next one is
+    /// submitted after a pause.
     pub fn submit_one_by_one(&mut self, ids: std::ops::Range<u32>, latency_us: u64, pause_us: u64) {
         for id in ids {
             self.submit_of_class(id, 0);
@@ -230,7 +235,7 @@
         }
     }
 
-    /// The attempts that have not ended, by request.
+    /// Returns the attempts that have not ended, in order of their requests' numbers.
     pub fn in_flight(&self) -> Vec<InFlightAttempt> {
         let attempt_of = |(id, tracked): (&u32, &TrackedRequest)| {
             let attempt = tracked.attempts.last().filter(|attempt| attempt.in_flight)?;
@@ -240,12 +245,13 @@
         self.requests.iter().filter_map(attempt_of).collect()
     }
 
-    /// The requests of the attempts sent from the given position on.
+    /// Returns the requests of the attempts from this position in `sent` on, in the order in which they were
+    /// sent.
     pub fn requests_sent_since(&self, position: usize) -> Vec<u32> {
         self.sent[position..].iter().map(|attempt| attempt.request).collect()
     }
 
-    /// Ends the attempt of the request that is in flight.
+    /// Ends the request's attempt in flight with this outcome, and reports it to the gateway.
     pub fn finish_attempt(&mut self, id: u32, outcome: AttemptOutcome) {
         let tracked = self.requests.get_mut(&id).expect("a request");
         let attempt = tracked.attempts.last_mut().expect("an attempt");
@@ -259,12 +265,13 @@
         let mut report = attempt_report(id, &attempt.node, outcome, self.now_us - attempt.sent_at_us);
         report.complete = tracked.finished;
         let gateway = tracked.gateway;
-        self.let_block_rest(id, outcome);
+        self.start_ordering_gap(id, outcome);
         self.notify(gateway, Event::AttemptEnded(report));
     }
 
-    /// After an attempt that may still run, the block of an ordered request rests.
-    fn let_block_rest(&mut self, id: u32, outcome: AttemptOutcome) {
+    /// Starts the gap before the next request for the block if the request is ordered by key and its ended
+    /// attempt may still be running.
+    fn start_ordering_gap(&mut self, id: u32, outcome: AttemptOutcome) {
         let tracked = &self.requests[&id];
         let may_still_run = matches!(
             outcome,
@@ -275,11 +282,11 @@
             && let Some(block) = tracked.request.block
         {
             let until_us = self.now_us + self.settings.ordering_gap_us;
-            self.block_rests_until_us.insert((tracked.gateway, block), until_us);
+            self.ordering_gap_ends_at_us.insert((tracked.gateway, block), until_us);
         }
     }
 
-    /// The client of an unfinished request leaves.
+    /// Reports to the gateway that the client of an unfinished request has disconnected.
     pub fn disconnect_client(&mut self, id: u32) {
         let tracked = self.requests.get_mut(&id).expect("a request");
         tracked.finished = true;
@@ -287,7 +294,7 @@
         self.notify(gateway, Event::ClientDisconnected(RequestId(id)));
     }
 
-    /// Kills a gateway, and with it all that it knew; it restarts with the cached endpoints.
+    /// Kills and restarts a gateway. All its state is lost; it receives the cached endpoint list.
     pub fn restart_gateway(&mut self, gateway: usize, cached: &[Endpoint]) {
         self.gateways[gateway] = scheduler(&self.settings, gateway, self.now_us, self.now_us);
         self.queued_events[gateway].clear();
@@ -295,11 +302,12 @@
         self.requests.retain(|_, tracked| tracked.gateway != gateway);
         self.retries.retain(|retry| retry.gateway != gateway);
         self.unavailable_since_us.retain(|key, _| key.0 != gateway);
-        self.block_rests_until_us.retain(|key, _| key.0 != gateway);
+        self.ordering_gap_ends_at_us.retain(|key, _| key.0 != gateway);
         self.update_endpoints(gateway, EndpointUpdate::Cached, cached);
     }
 
-    /// Delivers what is due, checks the actions and advances the clock by a tick.
+    /// Delivers queued events and due timers, checks the resulting actions, and advances the clock by one
+    /// tick.
     pub fn advance(&mut self) {
         self.time_out_expired_attempts();
         for gateway in 0..self.gateways.len() {
@@ -320,9 +328,9 @@
     fn deliver_events(&mut self, gateway: usize) {
         let now_us = self.now_us;
         let mut events = std::mem::take(&mut self.queued_events[gateway]);
-        let due = self.timers.iter().filter(|timer| timer.gateway == gateway && timer.due_at_us <= now_us);
+        let due = self.timers.iter().filter(|timer| timer.gateway == gateway && timer.fires_at_us <= now_us);
         events.extend(due.map(|timer| Event::TimerFired(timer.token)));
-        self.timers.retain(|timer| timer.gateway != gateway || timer.due_at_us > now_us);
+        self.timers.retain(|timer| timer.gateway != gateway || timer.fires_at_us > now_us);
         if events.is_empty() {
             return;
         }
@@ -338,7 +346,7 @@
         }
     }
 
-    /// As `run_for`, with every attempt answered after the latency.
+    /// Like `run_for`, and answers every attempt after the latency.
     pub fn run_answering_after(&mut self, duration_us: u64, latency_us: u64) {
         let end_us = self.now_us + duration_us;
         while self.now_us < end_us {
@@ -347,7 +355,7 @@
         }
     }
 
-    /// Answers the attempts that have been in flight for their latency.
+    /// Answers the attempts that have been in flight for at least their latency.
     pub fn answer_attempts_after(&mut self, latency_us: impl Fn(&InFlightAttempt) -> u64) {
         for attempt in self.in_flight() {
             if attempt.sent_at_us + latency_us(&attempt) <= self.now_us {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests of the scheduler share: builders of its inputs, and a simulated fleet of gateways that
-//! checks every decision against the rules of the platform.
+//! Helpers for the tests of the scheduler: builders of its inputs, and a simulated fleet of gateways that
+//! checks every action against the rules of the platform.
 
-// Every test binary uses a part of this module only.
+// Each test binary uses only part of this module.
 #![allow(dead_code)]
 
 mod builders;
@@ -13,7 +13,7 @@
 #[allow(unused_imports)]
 pub use fleet::*;
 
-/// A second in microseconds.
+/// One second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
-/// The batch interval of the settings in use, in microseconds; the simulated clock advances by it.
+/// Batch interval of the test settings, in microseconds. The simulated clock advances in steps of it.
 pub const TICK: u64 = 2_000;
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the platform, one function each, checked on every action of a simulated gateway.
+//! Checks every action of a simulated gateway against the rules of the platform, with one function per rule.
 
 use super::fleet::{
     PendingTimer, Retry, SIMULATION_START_US, SentAttempt, SimulatedFleet, TrackedAttempt, TrackedRequest,
@@ -6,7 +6,7 @@
 };
 use storage_gateway::scheduler::*;
 
-/// Absorbs rounding errors in sums of units.
+/// Number of units by which a sum may exceed its bound, to allow for rounding.
 const ROUNDING: f64 = 1e-6;
 
 /// An attempt that a gateway is about to send.
@@ -18,7 +18,7 @@
 }
 
 impl SimulatedFleet {
-    /// Checks an action of the gateway and carries it out.
+    /// Checks an action of the gateway against the rules, and records its effect.
     pub(super) fn check_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::SendAttempt { request, node, timeout_us } => {
@@ -35,14 +35,14 @@
             }
             Action::SetTimer { after_us, token } => {
                 assert!(after_us > 0);
-                self.timers.push(PendingTimer { gateway, due_at_us: self.now_us + after_us, token });
+                self.timers.push(PendingTimer { gateway, fires_at_us: self.now_us + after_us, token });
             }
             Action::WatchEndpoints => self.watches_at_us.push(self.now_us),
             Action::CancelAttempt { .. } => {}
         }
     }
 
-    /// Every request has its final answer by its deadline and the grace for answers.
+    /// Checks that every request is answered by its expiry plus the grace for answers.
     pub(super) fn check_all_answered_in_time(&self) {
         for (id, tracked) in &self.requests {
             let latest_us = tracked.request.expires_at_us + self.settings.answer_grace_us;
@@ -50,14 +50,14 @@
         }
     }
 
-    /// A request has one final answer.
+    /// Records the final answer of a request, and checks that it is the only one.
     fn finish_request(&mut self, id: u32) {
         let tracked = self.requests.get_mut(&id).expect("a request in flight");
         assert!(!tracked.finished, "second answer for {id}");
         tracked.finished = true;
     }
 
-    /// Rejected requests had no effect, or running them again anywhere is harmless.
+    /// Checks that a rejected request did not run, or may run again at any node.
     fn check_may_be_rejected(&self, id: u32) {
         let tracked = self.requests.get(&id).expect("a request in flight");
         assert!(!tracked.finished, "second answer for {id}");
@@ -70,10 +70,10 @@
     }
 
     fn check_attempt(&mut self, attempt: NewAttempt) {
-        self.check_is_unfinished_and_alone(&attempt);
+        self.check_request_is_sendable(&attempt);
         self.check_idempotency(&attempt);
         self.check_node_is_available(&attempt);
-        self.check_order_of_block(&attempt);
+        self.check_ordering(&attempt);
         let is_first = self.requests[&attempt.request].attempts.is_empty();
         if is_first {
             self.check_rate_limit(&attempt);
@@ -84,9 +84,9 @@
         self.check_slow_start(&attempt.node);
     }
 
-    /// An attempt is of an unfinished request of this gateway, goes to the shard of its data, and is the only
-    /// one in flight.
-    fn check_is_unfinished_and_alone(&self, attempt: &NewAttempt) {
+    /// Checks that the attempt is for an unfinished request of this gateway, goes to the shard of the request's
+    /// data, and is the request's only attempt in flight.
+    fn check_request_is_sendable(&self, attempt: &NewAttempt) {
         let (id, shard) = (attempt.request, self.nodes[&attempt.node].shard);
         let tracked = &self.requests[&id];
         assert!(!tracked.finished, "{id} was finished");
@@ -95,35 +95,45 @@
         assert!(tracked.attempts.iter().all(|earlier| !earlier.in_flight), "two attempts of {id} in flight");
     }
 
-    /// What may have run is repeated only where that is harmless.
+    /// Checks that a request that may have run is sent again only if it is idempotent, or while the node
+    /// recognizes its idempotency key.
     fn check_idempotency(&self, attempt: &NewAttempt) {
         let (id, shard) = (attempt.request, self.nodes[&attempt.node].shard);
         let tracked = &self.requests[&id];
         for earlier in tracked.attempts.iter().filter(|earlier| earlier.may_have_run) {
             match self.class_of(tracked).idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("{id} may have run and must not again"),
+                Idempotency::NonIdempotent => {
+                    panic!("{id} is not idempotent and may have run, but was sent again")
+                }
                 Idempotency::WithKey { scope, window_us } => {
-                    assert!(self.now_us <= earlier.sent_at_us + window_us, "{id} repeated too late");
+                    assert!(
+                        self.now_us <= earlier.sent_at_us + window_us,
+                        "{id} sent again after the window of its idempotency key"
+                    );
                     let key_is_known = scope == DeduplicationScope::AllNodes || earlier.shard == shard;
-                    assert!(key_is_known, "{id} repeated elsewhere");
+                    assert!(
+                        key_is_known,
+                        "{id} sent again to a node that does not recognize its idempotency key"
+                    );
                 }
             }
         }
     }
 
-    /// A node that drains or is gone, for all that the gateway knows, receives no new attempts.
+    /// Checks that the gateway has not been notified that the node is gone or, longer ago than the grace
+    /// period, that it is draining.
     fn check_node_is_available(&self, attempt: &NewAttempt) {
         let key = (attempt.gateway, attempt.node.clone());
         if let Some(since_us) = self.unavailable_since_us.get(&key) {
             let allowed = self.now_us <= since_us + self.drain_grace_us;
-            assert!(allowed, "sent to a node that drains or is gone");
+            assert!(allowed, "sent to a node that is draining or gone");
         }
     }
 
-    /// Requests ordered by key run one at a time at a gateway, in order of arrival, and the block rests after
-    /// an attempt that may still run.
-    fn check_order_of_block(&self, attempt: &NewAttempt) {
+    /// Checks that a gateway sends the requests for an ordered block one at a time, in order of arrival, and
+    /// leaves a gap after an attempt that may still be running.
+    fn check_ordering(&self, attempt: &NewAttempt) {
         let (gateway, id) = (attempt.gateway, attempt.request);
         let tracked = &self.requests[&id];
         let Some(block) = tracked.request.block.filter(|_| self.class_of(tracked).ordered_by_key) else {
@@ -133,15 +143,18 @@
             let same_block = other.gateway == gateway && other.request.block == Some(block);
             let open = !other.finished || other.attempts.last().is_some_and(|last| last.in_flight);
             let ordered = self.class_of(other).ordered_by_key;
-            assert!(!(same_block && open && ordered), "{id} sent before {earlier}, which came earlier");
+            assert!(
+                !(same_block && open && ordered),
+                "{id} sent before {earlier}, which arrived earlier and is not finished"
+            );
         }
         if tracked.attempts.is_empty() {
-            let until_us = self.block_rests_until_us.get(&(gateway, block)).copied().unwrap_or(0);
-            assert!(self.now_us >= until_us, "{id} sent within the gap of its block");
+            let until_us = self.ordering_gap_ends_at_us.get(&(gateway, block)).copied().unwrap_or(0);
+            assert!(self.now_us >= until_us, "{id} sent within the ordering gap of its block");
         }
     }
 
-    /// The retries of a gateway stay within its budget.
+    /// Counts the attempt as a retry, and checks that the retries of the gateway stay within its budget.
     fn check_retry_budget(&mut self, attempt: &NewAttempt) {
         let Some(budget) = self.settings.retry_budget else { return };
         let (now_us, gateway) = (self.now_us, attempt.gateway);
@@ -156,16 +169,17 @@
         assert!(retries <= allowed + 1e-9, "{retries} retries, {allowed} allowed");
     }
 
-    /// The first attempts of a volume stay within its rate limit, over all gateways.
+    /// Charges the first attempt to the volume's rate limit, and checks that the first attempts sent through
+    /// all gateways stay within the limit.
     fn check_rate_limit(&mut self, attempt: &NewAttempt) {
         let request = &self.requests[&attempt.request].request;
         let Some(limit) = self.settings.plans[request.plan.0].rate_limit else { return };
-        let full = VolumeBucket { units: limit.burst, filled_at_us: SIMULATION_START_US };
+        let full = VolumeBucket { tokens: limit.burst, updated_at_us: SIMULATION_START_US };
         let bucket = self.volume_buckets.entry(request.volume).or_insert(full);
-        let filled = bucket.units + limit.rate * (self.now_us - bucket.filled_at_us) as f64 / 1e6;
-        let units = filled.min(limit.burst) - request.units;
-        *bucket = VolumeBucket { units, filled_at_us: self.now_us };
-        assert!(units >= -limit.overdraft - ROUNDING, "a volume went beyond its limit: {units}");
+        let filled = bucket.tokens + limit.rate * (self.now_us - bucket.updated_at_us) as f64 / 1e6;
+        let tokens = filled.min(limit.burst) - request.units;
+        *bucket = VolumeBucket { tokens, updated_at_us: self.now_us };
+        assert!(tokens >= -limit.overdraft - ROUNDING, "a volume exceeded its rate limit: {tokens} tokens");
     }
 
     fn record_attempt(&mut self, attempt: &NewAttempt) {
@@ -189,7 +203,8 @@
         });
     }
 
-    /// All gateways together stay within the allowance of a warming-up node.
+    /// Checks that what all gateways together have sent to a warming-up node within the window does not exceed
+    /// what the node is guaranteed to sustain.
     fn check_slow_start(&self, node: &NodeId) {
         let now_us = self.now_us;
         let (Some(policy), Some(started_at_us)) = (self.settings.slow_start, self.nodes[node].started_at_us)
@@ -205,7 +220,7 @@
         let since_us = started_at_us.max(now_us.saturating_sub(policy.window_us));
         let in_window = |attempt: &&SentAttempt| attempt.node == *node && attempt.at_us >= since_us;
         let sent: f64 = self.sent.iter().filter(in_window).map(|attempt| attempt.units).sum();
-        assert!(sent <= allowed + ROUNDING, "a warming-up node was sent {sent} of {allowed}");
+        assert!(sent <= allowed + ROUNDING, "a warming-up node was sent {sent} units, {allowed} allowed");
     }
 
     fn class_of(&self, tracked: &TrackedRequest) -> &RequestClass {
