--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -3,7 +3,8 @@
 use super::{SECOND, TICK};
 use storage_gateway::scheduler::*;
 
-/// Returns a request class in which an answer past the latency objective earns a tenth of the priority weight.
+/// Returns a request class in which an answer past the latency objective earns a tenth of the priority
+/// weight.
 pub fn class(
     latency_objective_us: u64,
     deadline_us: u64,
@@ -24,8 +25,8 @@
 /// Returns settings for three gateways, with all rules of the platform enabled.
 ///
 /// Class 0 is idempotent. Requests of class 1 have an idempotency key, which the nodes of one shard recognize
-/// for one second. Class 2 is not idempotent, and its requests are ordered by key. Plan 0 has a rate limit and
-/// no reservation; plan 1 has a reservation and no rate limit.
+/// for one second. Class 2 is not idempotent, and its requests are ordered by key. Plan 0 has a rate limit
+/// and no reservation; plan 1 has a reservation and no rate limit.
 pub fn settings() -> SchedulerSettings {
     SchedulerSettings {
         classes: classes(),
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -84,8 +84,8 @@
         self.check_slow_start(&attempt.node);
     }
 
-    /// Checks that the attempt is for an unfinished request of this gateway, goes to the shard of the request's
-    /// data, and is the request's only attempt in flight.
+    /// Checks that the attempt is for an unfinished request of this gateway, goes to the shard of the
+    /// request's data, and is the request's only attempt in flight.
     fn check_request_is_sendable(&self, attempt: &NewAttempt) {
         let (id, shard) = (attempt.request, self.nodes[&attempt.node].shard);
         let tracked = &self.requests[&id];
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Checks that the gateway has not been notified that the node is gone or, longer ago than the grace
-    /// period, that it is draining.
+    /// Checks that the gateway was not notified, longer ago than the drain grace, that the node is draining
+    /// or gone.
     fn check_node_is_available(&self, attempt: &NewAttempt) {
         let key = (attempt.gateway, attempt.node.clone());
         if let Some(since_us) = self.unavailable_since_us.get(&key) {
@@ -203,8 +203,8 @@
         });
     }
 
-    /// Checks that what all gateways together have sent to a warming-up node within the window does not exceed
-    /// what the node is guaranteed to sustain.
+    /// Checks that what all gateways together have sent to a warming-up node within the window does not
+    /// exceed what the node is guaranteed to sustain.
     fn check_slow_start(&self, node: &NodeId) {
         let now_us = self.now_us;
         let (Some(policy), Some(started_at_us)) = (self.settings.slow_start, self.nodes[node].started_at_us)
--- a/tests/latency_model.rs
+++ b/tests/latency_model.rs
@@ -1,4 +1,4 @@
-//! The latency model against values computed by other means.
+//! Tests of the latency model against independently computed values.
 
 use storage_gateway::scheduler::latency_model::{
     digamma_and_trigamma, fit_generalized_exponential, mean_disengagement, mean_latency_budget,
@@ -9,7 +9,8 @@
     variance: f64,
 }
 
-/// The moments of the distribution at scale one, by numeric integration of the survival function.
+/// Computes the moments of the generalized exponential distribution with scale 1, by numerical integration of
+/// its survival function.
 fn moments(shape: f64) -> Moments {
     let (mut mean, mut square, step) = (0.0, 0.0, 1e-3);
     let mut x: f64 = step / 2.0;
@@ -24,13 +25,13 @@
 
 #[test]
 fn digamma_and_trigamma_match_known_values() {
-    let euler = 0.577_215_664_901_532_9;
+    let euler_constant = 0.577_215_664_901_532_9;
     let at_one = digamma_and_trigamma(1.0);
-    assert!((at_one.digamma + euler).abs() < 1e-9);
+    assert!((at_one.digamma + euler_constant).abs() < 1e-9);
     assert!((at_one.trigamma - std::f64::consts::PI.powi(2) / 6.0).abs() < 1e-9);
-    // At one half: -gamma - 2 ln 2 and pi squared over two.
+    // For x = 1/2, digamma is -gamma - 2 ln 2 (gamma is Euler's constant) and trigamma is pi^2 / 2.
     let at_half = digamma_and_trigamma(0.5);
-    assert!((at_half.digamma + euler + 2.0 * 2f64.ln()).abs() < 1e-9);
+    assert!((at_half.digamma + euler_constant + 2.0 * 2f64.ln()).abs() < 1e-9);
     assert!((at_half.trigamma - std::f64::consts::PI.powi(2) / 2.0).abs() < 1e-9);
 }
 
@@ -50,23 +51,27 @@
 }
 
 #[test]
-fn mean_disengagement_matches_the_exponential_law() {
-    // A coefficient of variation of one is the plain exponential: half from objective to deadline, one
-    // beyond.
+fn mean_disengagement_matches_the_exponential_distribution() {
+    // A coefficient of variation of 1 gives the exponential distribution. The disengagement is 0.5 from the
+    // objective to the deadline and 1 beyond it.
     let expected = 0.5 * ((-2f64).exp() - (-10f64).exp()) + (-10f64).exp();
     let computed = mean_disengagement(fit_generalized_exponential(1.0), 100.0, 200.0, 1_000.0);
     assert!((computed - expected).abs() < 1e-6, "{computed} for {expected}");
 }
 
 #[test]
-fn the_latency_budget_meets_its_target_and_takes_degenerate_variations() {
-    // Exponential: 0.5 (exp(-a/m) + exp(-d/m)) is between 0.95 and 0.98 of 2%.
+fn the_latency_budget_meets_its_target_and_is_finite_for_degenerate_variations() {
+    // The mean disengagement of the exponential distribution, with objective a, deadline d and mean m, is
+    // 0.5 (exp(-a/m) + exp(-d/m)). It must be between 0.945 and 0.985 of the target of 2%.
     let mean = mean_latency_budget(1.0, 200.0, 1_000.0);
     let disengagement = 0.5 * ((-200.0 / mean).exp() + (-1_000.0 / mean).exp());
     assert!((0.0189..=0.0197).contains(&disengagement), "{disengagement}");
     let budgets: Vec<f64> =
         [0.1, 0.5, 1.0, 2.0].map(|variation| mean_latency_budget(variation, 200.0, 1_000.0)).to_vec();
-    assert!(budgets.windows(2).all(|pair| pair[0] > pair[1]), "wider variation, smaller budget: {budgets:?}");
+    assert!(
+        budgets.windows(2).all(|pair| pair[0] > pair[1]),
+        "a larger variation must give a smaller budget: {budgets:?}"
+    );
     for variation in [0.0, 1e9, f64::INFINITY, f64::NAN] {
         let mean = mean_latency_budget(variation, 200.0, 1_000.0);
         assert!(mean.is_finite() && (0.0..=500.0).contains(&mean), "a variation of {variation} gave {mean}");
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -1,4 +1,5 @@
-//! Arbitrary legal events at several gateways: the simulated fleet checks every action against the rules.
+//! Property test: delivers random sequences of events to several gateways. The simulated fleet checks every
+//! action against the rules of the platform.
 
 mod common;
 use common::*;
@@ -9,7 +10,7 @@
 const GATEWAYS: usize = 3;
 const NODES: u32 = 3;
 
-/// One step of a sequence. Indices called `choice` are taken modulo what there is to choose from.
+/// One step of a sequence. A `choice` is taken modulo the number of attempts or requests to choose from.
 #[derive(Clone, Debug)]
 enum Step {
     SubmitRequest(RequestParameters),
@@ -31,7 +32,7 @@
     block: u64,
     shard: Option<u32>,
     units: u8,
-    /// At most the deadline of the class is used.
+    /// Time from the arrival to the expiry. It is limited to the deadline of the class.
     expires_after_us: u64,
 }
 
@@ -78,17 +79,17 @@
     ]
 }
 
-/// A fleet to which a sequence of steps happens.
+/// A fleet on which a sequence of steps is run.
 struct Sequence {
     fleet: SimulatedFleet,
     endpoints: Vec<Endpoint>,
-    last_request: u32,
+    last_request_id: u32,
 }
 
 impl Sequence {
     fn new() -> Self {
         let fleet = SimulatedFleet::with_ready_nodes(settings(), NODES);
-        Sequence { fleet, endpoints: ready_endpoints(NODES), last_request: 0 }
+        Sequence { fleet, endpoints: ready_endpoints(NODES), last_request_id: 0 }
     }
 
     fn run_step(&mut self, step: Step) {
@@ -112,7 +113,7 @@
     }
 
     fn submit_request(&mut self, parameters: RequestParameters) {
-        self.last_request += 1;
+        self.last_request_id += 1;
         let RequestParameters { gateway, class, plan, volume, block, shard, units, expires_after_us } =
             parameters;
         let deadline_us = self.fleet.settings.classes[class].deadline_us;
@@ -124,12 +125,13 @@
             block: Some(BlockId(block)),
             shard: shard.map(ShardId),
             units: f64::from(units),
-            ..incoming_request(self.last_request, class, 0, expires_at_us)
+            ..incoming_request(self.last_request_id, class, 0, expires_at_us)
         };
         self.fleet.submit(gateway, request);
     }
 
-    /// All gateways are notified of a start, as the rule on slow start counts those that are.
+    /// Changes the endpoint of a node and notifies the gateway. A restart is reported to all gateways,
+    /// because the check of slow start counts the units sent by all of them.
     fn update_endpoint(&mut self, gateway: usize, node: usize, state: EndpointState, restarted: bool) {
         let endpoint = &mut self.endpoints[node];
         endpoint.state = state;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Events that name nothing the gateway knows.
+    /// Sends events that refer to requests, nodes and timers that are unknown to the gateway.
     fn send_unknown_names(&mut self, gateway: usize) {
         let health_check = Event::HealthCheckCompleted {
             node: "nowhere".into(),
@@ -173,7 +175,7 @@
     fn finish(mut self) {
         self.fleet.run_for(4 * SECOND);
         let all_finished = self.fleet.requests.values().all(|tracked| tracked.finished);
-        assert!(all_finished, "all are answered in the end");
+        assert!(all_finished, "every request is finished at the end");
     }
 }
 
--- a/tests/scheduler_purity.rs
+++ b/tests/scheduler_purity.rs
@@ -1,12 +1,13 @@
-//! The scheduler is a pure function of its settings, its seed and its events: nothing under `src/scheduler/`
-//! may reach for I/O, a clock, threads or an asynchronous runtime, and its lines keep to rustfmt's width.
+//! Checks that the scheduler is a pure function of its settings, seed and events: no source below
+//! `src/scheduler/` may use I/O, a clock, threads or an asynchronous runtime. Also checks the line width, the
+//! module documentation and the list of the scheduler's sources in the deployment file.
 
 use std::path::{Path, PathBuf};
 
-/// The widest line, in characters.
+/// Maximum line width, in characters.
 const MAX_WIDTH: usize = 110;
 
-/// Names that no scheduler source may contain, as whole words.
+/// Words that the code of the scheduler must not contain.
 const FORBIDDEN: [&str; 38] = [
     "tokio",
     "hyper",
@@ -48,16 +49,16 @@
     "proc_macro",
 ];
 
-/// Text that no scheduler source may contain: the ways out of the scheduler's module, other names for the
-/// random number generator, which could hide that it is not seeded, and block comments, which could hide code
-/// from this check.
+/// Text that the code of the scheduler must not contain: paths to items outside the scheduler's module,
+/// aliases of the random number generator, which could hide that it is not seeded, and block comments, which
+/// could hide code from this check.
 const FORBIDDEN_TEXT: [&str; 8] =
     ["super::super", "::super", "{super", "super as", "#[path", "Rng as", "Rng>::", "/*"];
 
-/// The dependencies that the scheduler may use: they do nothing but compute.
+/// Dependencies that the scheduler may use. They have no side effects.
 const ALLOWED_DEPENDENCIES: [&str; 3] = ["fastrand", "indexmap", "rustc_hash"];
 
-/// Every path into the standard library or `fastrand` begins with one of these.
+/// Beginnings of the paths into the standard library and `fastrand` that the scheduler may use.
 const ALLOWED_PATHS: [&str; 7] = [
     "std::cmp::Reverse",
     "std::collections::BTreeMap",
@@ -90,14 +91,14 @@
     sources
 }
 
-/// The names of the gateway's dependencies, as code writes them.
+/// Returns the names of the package's dependencies as they are written in code, with underscores.
 fn dependencies() -> Vec<String> {
     let manifest: toml::Table = include_str!("../Cargo.toml").parse().unwrap();
     let names = manifest["dependencies"].as_table().unwrap().keys();
     names.map(|name| name.replace('-', "_")).collect()
 }
 
-/// The code of a line without its comment.
+/// Returns the part of a line before its comment.
 fn code(line: &str) -> &str {
     line.split("//").next().unwrap_or_default()
 }
@@ -110,24 +111,25 @@
     text.split(|character| !is_word_character(character))
 }
 
-/// What stands before and after each occurrence of a word; the word itself begins what follows.
+/// Returns the text before and the text from each occurrence of a word on. The second text begins with the
+/// word.
 fn occurrences<'a>(code: &'a str, word: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
     let split = code.match_indices(word).map(|(position, _)| code.split_at(position));
     split.filter(move |(before, rest)| !before.ends_with(is_word_character) && begins_with(rest, word))
 }
 
-/// Whether the text begins with this, and no word goes on behind it.
+/// Returns whether the text begins with `beginning`, and no word character follows.
 fn begins_with(text: &str, beginning: &str) -> bool {
     text.strip_prefix(beginning).is_some_and(|rest| !rest.starts_with(is_word_character))
 }
 
-/// Whether a path into the standard library or `fastrand` leads elsewhere than to what is allowed.
+/// Returns whether the code contains a path into the standard library or `fastrand` that is not allowed.
 fn has_forbidden_path(code: &str) -> bool {
     let mut paths = occurrences(code, "std").chain(occurrences(code, "fastrand"));
     paths.any(|(_, path)| !ALLOWED_PATHS.iter().any(|allowed| begins_with(path, allowed)))
 }
 
-/// What makes a line of the scheduler impure, if anything does.
+/// Returns a description of the first violation in a line; `None` if the line is allowed.
 fn violation(line: &str, dependencies: &[String]) -> Option<String> {
     let code = code(line);
     let is_forbidden_dependency = |word: &str| {
@@ -153,11 +155,11 @@
         (hides_code, "a string that may hide code from this check"),
     ]
     .into_iter()
-    .find_map(|(is_violated, what)| is_violated.then(|| what.to_string()))
+    .find_map(|(is_violated, description)| is_violated.then(|| description.to_string()))
 }
 
 #[test]
-fn the_scheduler_reaches_for_no_io_clock_thread_or_runtime() {
+fn the_scheduler_uses_no_io_clock_thread_or_runtime() {
     let dependencies = dependencies();
     for (path, text) in scheduler_sources() {
         for (number, line) in text.lines().enumerate() {
@@ -167,10 +169,10 @@
     }
 }
 
-/// In `mod.rs` itself, `super` is the root of the crate. A `src/scheduler.rs` would be the module in place of
-/// `mod.rs`, and no other test here would read it.
+/// In `mod.rs`, `super` is the root of the crate. If the module were in `src/scheduler.rs` instead of
+/// `mod.rs`, the other tests in this file would not read it.
 #[test]
-fn the_scheduler_is_a_folder_whose_root_names_nothing_above_it() {
+fn the_scheduler_is_a_folder_whose_root_module_uses_nothing_outside_it() {
     assert!(!scheduler_folder().with_extension("rs").exists());
     let root = std::fs::read_to_string(scheduler_folder().join("mod.rs")).unwrap();
     for line in root.lines() {
@@ -178,7 +180,8 @@
     }
 }
 
-/// The head of the module names its interface, for those who read the filed sources alone.
+/// The module documentation names the modules of the interface, for readers who have only the sources that
+/// the benchmark files.
 #[test]
 fn the_module_doc_of_the_scheduler_names_its_interface() {
     let root = std::fs::read_to_string(scheduler_folder().join("mod.rs")).unwrap();
@@ -188,12 +191,12 @@
     }
 }
 
-/// The check itself, on lines that it must find and on lines that it must let pass.
+/// Tests the check itself, with lines that it must report and lines that it must not report.
 #[test]
-fn violations_are_found_and_ordinary_lines_pass() {
+fn violations_are_reported_and_allowed_lines_are_not() {
     let dependencies = dependencies();
     for line in IMPURE_LINES {
-        assert!(violation(line, &dependencies).is_some(), "not found: {line}");
+        assert!(violation(line, &dependencies).is_some(), "not reported: {line}");
     }
     for line in PURE_LINES {
         assert_eq!(violation(line, &dependencies), None, "{line}");
@@ -267,7 +270,7 @@
     }
 }
 
-/// The benchmark prints and files the sources that the deployment file names as the policy.
+/// The benchmark prints and files the sources that the deployment file lists as `policy`.
 #[test]
 fn the_deployment_file_lists_every_source_of_the_scheduler() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/scheduling_exceptions.rs
+++ b/tests/scheduling_exceptions.rs
@@ -1,15 +1,16 @@
-//! The ordinary scheduling path, and the exceptions to it that are marked EXCEPTION in `src/scheduler/`.
+//! Tests of the ordinary scheduling path, and of the departures from it that comments in `src/scheduler/`
+//! mark as `Deviation from the paper:`.
 
 mod common;
 use common::*;
 use storage_gateway::scheduler::*;
 
-/// One gateway that knows three nodes, without slow start and retry budget.
+/// Returns a fleet of one gateway with three ready nodes, without slow start and retry budget.
 fn single_gateway() -> SimulatedFleet {
     SimulatedFleet::unrestricted(1, 3)
 }
 
-/// As `single_gateway`, after this many requests that were each answered after the latency.
+/// Like `single_gateway`, after this many requests, each of which was answered after the latency.
 fn gateway_with_history(count: u32, latency_us: u64) -> SimulatedFleet {
     let mut fleet = single_gateway();
     for id in 0..count {
@@ -21,24 +22,25 @@
 }
 
 #[test]
-fn ordinary_path_sends_earliest_due_first_and_fills_a_window_of_four() {
+fn requests_are_sent_by_queueing_deadline_until_the_initial_window_of_four_is_full() {
     let mut fleet = single_gateway();
-    // Before anything is measured the exponential distribution is assumed: class 1 is due after class 0.
+    // Without measurements, latencies are assumed to be exponential. The queueing deadline of class 1 is then
+    // later than that of class 0.
     for id in 0..6 {
         fleet.submit_of_class(id, if id % 2 == 0 { 1 } else { 0 });
     }
     fleet.advance();
-    assert_eq!(fleet.requests_sent_since(0), [1, 3, 5, 0], "four, the sooner due first");
+    assert_eq!(fleet.requests_sent_since(0), [1, 3, 5, 0], "four requests, earliest queueing deadline first");
 }
 
 #[test]
-fn the_window_shrinks_to_one_at_a_node_whose_latency_uses_up_the_objective() {
+fn the_window_shrinks_to_one_if_latency_is_a_large_fraction_of_the_objective() {
     let mut fleet = gateway_with_history(20, 150_000);
     for id in 100..110 {
         fleet.submit_of_class(id, 0);
     }
     fleet.advance();
-    assert_eq!(fleet.in_flight().len(), 1, "one at a node that takes three quarters of the objective");
+    assert_eq!(fleet.in_flight().len(), 1, "latency is three quarters of the objective");
 }
 
 #[test]
@@ -51,9 +53,10 @@
     fleet.run_answering_after(60_000, 10_000);
     assert!(
         fleet.requests[&101].finished && fleet.requests[&100].finished,
-        "both well within the objective of 200 ms"
+        "both are answered well within the objective of 200 ms"
     );
-    // A node that has answered another request since is not suspected at all.
+    // If the node has answered another request since the attempt was sent, the broken connection does not
+    // count as a failure of the node.
     fleet.submit_of_class(102, 0);
     fleet.submit_of_class(103, 0);
     fleet.advance();
@@ -61,11 +64,11 @@
     fleet.finish_attempt(103, AttemptOutcome::ConnectionReset);
     (104..107).for_each(|id| fleet.submit_of_class(id, 0));
     fleet.advance();
-    assert!(fleet.in_flight().len() > 1, "its window is as it was");
+    assert!(fleet.in_flight().len() > 1, "the window is unchanged");
 }
 
 #[test]
-fn quick_failures_do_not_count_as_quick_service() {
+fn fast_failures_do_not_count_as_fast_service() {
     let mut fleet = single_gateway();
     for id in 0..100 {
         fleet.submit_of_class(id, 0);
@@ -75,11 +78,11 @@
         }
         fleet.advance();
     }
-    assert!(fleet.sent.len() < 10, "attempts at a dead node get rarer: {}", fleet.sent.len());
+    assert!(fleet.sent.len() < 10, "backoff reduces the attempts at a dead node: {}", fleet.sent.len());
 }
 
 #[test]
-fn a_suspected_node_receives_one_attempt_at_a_time_until_it_answers() {
+fn a_failing_node_receives_one_attempt_at_a_time_until_it_answers() {
     let mut fleet = single_gateway();
     fleet.submit_of_class(0, 0);
     fleet.advance();
@@ -89,18 +92,18 @@
         fleet.submit_of_class(id, 1);
     }
     fleet.run_for(300_000);
-    assert_eq!(fleet.in_flight().len(), 1, "one at a time while it is suspected");
+    assert_eq!(fleet.in_flight().len(), 1, "one attempt at a time while the node is failing");
     fleet.run_answering_after(1_500_000, 5_000);
     let has_ended_attempt =
         |tracked: &&TrackedRequest| tracked.attempts.iter().any(|attempt| !attempt.in_flight);
     let served = fleet.requests.values().filter(has_ended_attempt).count();
-    assert!(served >= 15, "then the rest: {served}");
+    assert!(served >= 15, "the remaining requests are served once the node answers: {served}");
 }
 
 #[test]
-fn lost_attempts_do_not_block_a_node() {
+fn lost_attempts_do_not_occupy_the_concurrency_window() {
     let mut fleet = gateway_with_history(30, 10_000);
-    // Every third attempt is never answered.
+    // Every third request is never answered.
     let before = fleet.sent.len();
     for id in 100..400 {
         fleet.submit_of_class(id, 1);
@@ -113,14 +116,14 @@
         fleet.run_for(10_000);
     }
     let sent = fleet.sent.len() - before;
-    assert!(sent > 250, "{sent} of 300 sent although a third is lost");
+    assert!(sent > 250, "{sent} of 300 requests sent while a third of the attempts is lost");
 }
 
 #[test]
-fn reserved_requests_go_before_those_beyond_a_reservation_at_a_busy_node() {
+fn requests_within_a_reservation_precede_those_beyond_one_at_a_backlogged_node() {
     let mut fleet = gateway_with_history(60, 50_000);
-    // Volume 900 requests far beyond its reservation of 6 units a second and one largest request; then
-    // another volume's request comes.
+    // Volume 900 requests far more than its reservation of 6 units per second plus one request of maximum
+    // size. Then a request of another volume arrives.
     for id in 1_000..1_040 {
         fleet.submit_from_volume(id, 0, 900);
     }
@@ -128,9 +131,10 @@
     let submitted_at_us = fleet.now_us;
     fleet.submit_from_volume(2_000, 0, 901);
     fleet.run_answering_after(400_000, 50_000);
-    let attempt = fleet.sent.iter().find(|attempt| attempt.request == 2_000).expect("it is sent");
+    let attempt =
+        fleet.sent.iter().find(|attempt| attempt.request == 2_000).expect("an attempt of request 2000");
     let waited_us = attempt.at_us - submitted_at_us;
-    assert!(waited_us <= 150_000, "sent after {waited_us} us, past 30 queued before it");
+    assert!(waited_us <= 150_000, "sent after {waited_us} us, behind requests beyond a reservation");
 }
 
 #[test]
@@ -142,11 +146,11 @@
     }
     fleet.run_answering_after(SECOND, 10_000);
     let rejected = fleet.rejected.iter().filter(|id| *id % 10 == 0).count();
-    assert_eq!(rejected, 0, "all background requests are served");
+    assert_eq!(rejected, 0, "no background request is rejected");
 }
 
 #[test]
-fn new_objects_go_to_nodes_that_are_not_slow() {
+fn new_objects_are_not_sent_to_slow_nodes() {
     let mut fleet = single_gateway();
     for id in 0..60 {
         let expires_at_us = fleet.now_us + SECOND;
@@ -169,7 +173,7 @@
     assert!(to_slow_node <= 2, "{to_slow_node} of 20 went to the slow node");
 }
 
-/// Settings in which whatever can be zero is zero, for a class with this objective.
+/// Returns settings for one class with this objective. Most numbers in them that may be zero are zero.
 fn zero_settings(latency_objective_us: Option<u64>) -> SchedulerSettings {
     let limit = RateLimit { rate: 1e-9, ..settings().plans[0].rate_limit.unwrap() };
     SchedulerSettings {
@@ -196,7 +200,7 @@
 }
 
 #[test]
-fn degenerate_settings_and_requests_are_answered() {
+fn requests_are_answered_with_degenerate_settings() {
     let empty_settings = SchedulerSettings { classes: vec![], plans: vec![], ..settings() };
     for settings in [zero_settings(Some(0)), zero_settings(None), empty_settings] {
         let mut scheduler = Scheduler::new(settings, 1, 10);
@@ -228,9 +232,9 @@
     }
 }
 
-/// Queues one background request and one with an objective for each of `slots` free slots, and counts the
-/// slots that the background request got.
-fn slots_given_to_background(fleet: &mut SimulatedFleet, slots: u32) -> usize {
+/// Submits a background request and a latency-bound request for each of `slots` slots of a node. Returns the
+/// number of slots in which the background request was sent first.
+fn slots_used_by_background(fleet: &mut SimulatedFleet, slots: u32) -> usize {
     let mut count = 0;
     for id in (1_000..1_000 + 2 * slots).step_by(2) {
         fleet.submit_of_class(id, 2);
@@ -245,17 +249,20 @@
 }
 
 #[test]
-fn alpha_starts_at_one_and_falls_to_its_clamp_when_objectives_are_met() {
+fn alpha_starts_at_one_and_falls_to_its_lower_bound_if_objectives_are_met() {
     let mut fleet = single_gateway();
-    let given = slots_given_to_background(&mut fleet, 7);
-    assert_eq!(given, 0, "before anything is measured, requests with an objective go first");
+    let background_slots = slots_used_by_background(&mut fleet, 7);
+    assert_eq!(background_slots, 0, "without measurements, latency-bound requests are sent first");
     let mut fleet = gateway_with_history(80, 50_000);
-    let given = slots_given_to_background(&mut fleet, 20);
-    assert!((12..=19).contains(&given), "about nine in ten, never all by the clamp: {given}");
+    let background_slots = slots_used_by_background(&mut fleet, 20);
+    assert!(
+        (12..=19).contains(&background_slots),
+        "about nine in ten; the lower bound of alpha keeps it from all: {background_slots}"
+    );
 }
 
 #[test]
-fn background_volumes_take_turns() {
+fn the_fair_queue_alternates_between_background_volumes() {
     let mut fleet = gateway_with_history(60, 50_000);
     for (id, volume) in [(100, 900), (101, 900), (102, 900), (103, 901)] {
         fleet.submit_from_volume(id, 2, volume);
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,25 +1,25 @@
-//! What the gateways of a fleet together send a node that has just started.
+//! Tests of slow start: how much the gateways of a fleet together send to a node that has just started.
 
 mod common;
 use common::*;
 use std::collections::{BTreeMap, VecDeque};
 use storage_gateway::scheduler::*;
 
-/// The time between two batches of a gateway, in microseconds.
-const ROUND_US: u64 = 20_000;
-/// The same in seconds.
-const ROUND_SECONDS: f64 = 0.02;
+/// Interval between the batches of a gateway, in microseconds.
+const BATCH_INTERVAL_US: u64 = 20_000;
+/// Interval between the batches of a gateway, in seconds.
+const BATCH_INTERVAL_SECONDS: f64 = 0.02;
 
 /// How a node's capacity grows after its start.
 #[derive(Clone, Copy)]
 struct WarmUp {
     policy: SlowStartPolicy,
-    /// What the node serves in a second once it has warmed up.
+    /// Rate at which the node serves units once it has warmed up.
     units_per_second: f64,
 }
 
 impl WarmUp {
-    /// The fraction of its capacity that the node has at this age.
+    /// Returns the node's capacity at this time after its start, as a fraction of its full capacity.
     fn capacity_at(&self, age_us: u64) -> f64 {
         match age_us as f64 / self.policy.warm_up_us as f64 {
             age if age < 1.0 => self.policy.initial_capacity + (1.0 - self.policy.initial_capacity) * age,
@@ -27,35 +27,37 @@
         }
     }
 
-    /// The units that the node may be sent within the window of the policy.
+    /// Returns the units that the node may be sent within the window of the policy, at this capacity.
     fn allowed_units(&self, capacity: f64) -> f64 {
         self.policy.overload_factor * self.units_per_second * capacity * self.policy.window_us as f64 / 1e6
     }
 }
 
-/// The node, ready, as started at this time; long ago if that is 0.
+/// Returns the ready endpoint of the node, which started at this time, or long ago if that is 0.
 fn node_started_at(started_at_us: u64) -> Endpoint {
     endpoint("n", 0, EndpointState::Ready, started_at_us)
 }
 
-/// An attempt that the node will have served at some time.
+/// An attempt in the queue of the node.
 #[derive(Clone, Copy)]
 struct QueuedAttempt {
     gateway: usize,
     request: u32,
+    /// When the node completes the attempt.
     served_at_us: u64,
     latency_us: u64,
 }
 
-/// Units sent at some time by a gateway that knew of the node's start.
+/// Units that a gateway sent after it was notified of the node's latest start.
 #[derive(Clone, Copy)]
 struct SentUnits {
     at_us: u64,
     units: f64,
 }
 
-/// A node that restarts twice, in front of it gateways that are notified of it seconds apart and that are
-/// killed now and then. All of them together request twice what the node can serve.
+/// A node that restarts twice, and the gateways in front of it. Each gateway is notified of a restart up to
+/// three seconds after it, and gateways are killed at random. Together they request about twice what the node
+/// can serve.
 struct RestartingNode {
     settings: SchedulerSettings,
     warm_up: WarmUp,
@@ -64,21 +66,21 @@
     gateways: Vec<Scheduler>,
     /// Events for each gateway's next batch.
     events: Vec<Vec<Event>>,
-    /// When the node last started, as far as each gateway knows.
+    /// When the node last started, according to each gateway's endpoint list; 0 if long ago.
     known_start_us: Vec<u64>,
-    /// When each gateway is notified of the node's last restart.
+    /// When each gateway is notified of the node's latest restart; empty before the first restart.
     notified_at_us: Vec<u64>,
     /// When the node last started; 0 before its first restart.
     started_at_us: u64,
-    /// When the node will have served its queue.
+    /// When the node completes the last attempt in its queue.
     idle_at_us: f64,
     queue: Vec<QueuedAttempt>,
     request_units: BTreeMap<u32, f64>,
-    /// What was sent within the window of the policy.
+    /// Units sent within the window of the policy by gateways that were notified of the latest restart.
     recently_sent: VecDeque<SentUnits>,
-    /// Units served while warming up, past the first two windows.
+    /// Units sent to the node while it warmed up, except in the first two windows after its start.
     served_units: f64,
-    /// Units that the node could have served in that time.
+    /// Units that the node could have served in the period to which `served_units` applies.
     servable_units: f64,
 }
 
@@ -106,7 +108,7 @@
     }
 
     fn run_round(&mut self, round: u32) {
-        self.now_us += ROUND_US;
+        self.now_us += BATCH_INTERVAL_US;
         if round == 400 || round == 1_000 {
             self.restart_node();
         }
@@ -150,7 +152,8 @@
         }
     }
 
-    /// A killed gateway comes back with the list that it had, or with an older one.
+    /// Kills and restarts the gateway with a small probability. It receives its latest endpoint list from the
+    /// cache, or a list from before the node's restarts.
     fn restart_gateway_at_random(&mut self, gateway: usize) {
         if self.random.u32(0..1_500) != 0 {
             return;
@@ -215,7 +218,8 @@
         self.now_us > self.started_at_us + 2 * self.warm_up.policy.window_us
     }
 
-    /// Gateways that know of the restart have sent no more than the node may be sent.
+    /// Checks that the gateways that were notified of the latest restart have not sent more units than
+    /// allowed.
     fn check_load(&mut self, capacity: f64) {
         let (now_us, window_us) = (self.now_us, self.warm_up.policy.window_us);
         while self.recently_sent.front().is_some_and(|sent| sent.at_us + window_us < now_us) {
@@ -226,18 +230,23 @@
             return;
         }
         let (allowed, gateways) = (self.warm_up.allowed_units(capacity), self.gateways.len());
-        assert!(sent <= allowed, "{gateways} gateways sent {sent} of {allowed} within the window");
+        assert!(
+            sent <= allowed,
+            "{gateways} gateways sent {sent} units within the window, {allowed} allowed"
+        );
         if self.is_past_first_windows() {
-            self.servable_units += self.warm_up.units_per_second * capacity * ROUND_SECONDS;
+            self.servable_units += self.warm_up.units_per_second * capacity * BATCH_INTERVAL_SECONDS;
         }
     }
 }
 
-/// A node restarts twice; gateways are notified of it seconds apart, some restart with an older list. What
-/// those that were notified send within the window stays within the node's allowance, though all of them
-/// request twice what it can serve, whatever the number of gateways. They also use a good part of it.
+/// Guards against overloading or idling a node that is warming up, with 3, 45 and 170 gateways. Together they
+/// request about twice what the node can serve. They are notified of its restarts at different times, and
+/// some of them restart with an older endpoint list. The gateways that were notified must stay within the
+/// allowance, and the node must be sent at least a quarter (3 gateways) or four tenths of the units that it
+/// can serve.
 #[test]
-fn a_fleet_uses_the_allowance_of_a_warming_up_node_and_stays_within_it() {
+fn a_fleet_uses_but_does_not_exceed_the_allowance_of_a_warming_up_node() {
     for gateways in [3usize, 45, 170] {
         let mut simulation = RestartingNode::new(gateways);
         for round in 0u32..1_600 {
@@ -247,33 +256,33 @@
         let min_fraction = if gateways > 3 { 0.4 } else { 0.25 };
         assert!(
             served > min_fraction * servable,
-            "{gateways} gateways sent a warming-up node {served} units of {servable}"
+            "{gateways} gateways sent a warming-up node {served} units, it could serve {servable}"
         );
     }
 }
 
-/// Gateways that restarted together with their node; each serves a volume of its own within the volume's
-/// reservation. The node answers everything within one round.
+/// Gateways that start one second before their node restarts. Each receives requests of a different volume,
+/// which stay within the volume's reservation. The node answers each attempt by the next round.
 struct RestartedFleet {
     warm_up: WarmUp,
     gateways: Vec<Scheduler>,
     /// Events for each gateway's next batch.
     events: Vec<Vec<Event>>,
     node_started_at_us: u64,
-    /// When each attempt was sent, of two units each.
+    /// When each attempt was sent. All attempts are of `REQUEST_UNITS`.
     sent_at_us: Vec<u64>,
-    /// Units requested once the first two seconds after the node's start are over.
+    /// Units requested later than two seconds after the node's start.
     requested_units: f64,
 }
 
 impl RestartedFleet {
-    /// The units of each request.
+    /// Size of each request, in units.
     const REQUEST_UNITS: f64 = 2.0;
 
     fn new(gateway_count: usize) -> Self {
         let settings = SchedulerSettings { gateway_count, retry_budget: None, ..settings() };
         let policy = settings.slow_start.expect("a slow start policy");
-        // The reservations are six tenths of what the node can serve.
+        // The reservations of all volumes amount to six tenths of the rate that the node can serve.
         let units_per_second = gateway_count as f64 * settings.plans[1].reserved_rate / 0.6;
         RestartedFleet {
             warm_up: WarmUp { policy, units_per_second },
@@ -286,7 +295,7 @@
     }
 
     fn run_round(&mut self, round: u32) {
-        let now_us = SIMULATION_START_US + u64::from(round) * ROUND_US;
+        let now_us = SIMULATION_START_US + u64::from(round) * BATCH_INTERVAL_US;
         let mut answers = Vec::new();
         for gateway in 0..self.gateways.len() {
             if now_us == self.node_started_at_us {
@@ -303,7 +312,7 @@
             }
         }
         for (gateway, request) in answers {
-            let answer = attempt_ended(request.0, "n", AttemptOutcome::Succeeded, ROUND_US);
+            let answer = attempt_ended(request.0, "n", AttemptOutcome::Succeeded, BATCH_INTERVAL_US);
             self.events[gateway].push(answer);
         }
         if now_us > self.node_started_at_us {
@@ -311,7 +320,7 @@
         }
     }
 
-    /// Every gateway gets two requests a second.
+    /// Submits two requests per second to every gateway.
     fn submit_if_due(&mut self, gateway: usize, round: u32, now_us: u64) {
         if !(round as usize + gateway).is_multiple_of(25) {
             return;
@@ -330,7 +339,7 @@
         let since_us = started_at_us.max(now_us.saturating_sub(self.warm_up.policy.window_us));
         let units = self.units_sent(|at_us| at_us >= since_us);
         let allowed = self.warm_up.allowed_units(self.warm_up.capacity_at(now_us - started_at_us));
-        assert!(units <= allowed, "{units} units of {allowed} within the window");
+        assert!(units <= allowed, "{units} units sent within the window, {allowed} allowed");
     }
 
     fn units_sent(&self, at: impl Fn(u64) -> bool) -> f64 {
@@ -338,16 +347,16 @@
     }
 }
 
-/// A release stops gateways and nodes together: the gateways that come back have never seen the node at its
-/// full capacity. They send it a good part of what is requested within the reservations, and all of them
-/// together stay within its allowance.
+/// Guards against a node that idles after a release has restarted gateways and nodes together. The restarted
+/// gateways have not observed the node at its full capacity. They must send it more than four tenths of the
+/// units requested, which are within the reservations, and together must stay within the allowance.
 #[test]
-fn restarted_gateways_serve_reservations_at_a_warming_up_node() {
+fn restarted_gateways_send_reserved_requests_to_a_warming_up_node() {
     let mut fleet = RestartedFleet::new(60);
     for round in 0u32..600 {
         fleet.run_round(round);
     }
     let (started_at_us, requested) = (fleet.node_started_at_us, fleet.requested_units);
     let served = fleet.units_sent(|at_us| at_us > started_at_us + 2 * SECOND);
-    assert!(served > 0.4 * requested, "{served} units sent of {requested}");
+    assert!(served > 0.4 * requested, "{served} units sent, {requested} requested");
 }
