--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -1,5 +1,5 @@
-//! A request that the scheduler gives up is answered in the batch in which that is decided, with a
-//! `Retry-After` where one is known; a request that it would still send is not.
+//! Tests of final answers. A request that the scheduler decides not to send is answered in the same batch,
+//! with a `Retry-After` if the wait is known. A request that can still be sent is not answered.
 
 mod common;
 use common::*;
@@ -25,7 +25,7 @@
     }
 }
 
-/// The final answer of the request among these actions.
+/// Returns the final answer to the request among the actions; `None` if there is none.
 fn answer(actions: &[Action], id: u32) -> Option<Answer> {
     actions.iter().find_map(|action| match action {
         Action::Reject { request, retry_after_us } if request.0 == id => {
@@ -40,7 +40,7 @@
     matches!(answer(actions, id), Some(Answer::Rejected { retry_after_us: Some(1..) }))
 }
 
-/// A scheduler that knows one ready node, n0.
+/// Returns a scheduler with one ready node, n0.
 fn scheduler_with_one_node(settings: SchedulerSettings) -> Scheduler {
     let mut scheduler = Scheduler::new(settings, 1, SECOND);
     deliver(&mut scheduler, SECOND, &[snapshot(ready_endpoints(1))]);
@@ -56,10 +56,10 @@
     let mut scheduler = scheduler_with_one_node(settings());
     let actions = deliver(&mut scheduler, SECOND, &[arrival(1, 0, 7, 2 * SECOND)]);
     assert!(is_rejected_with_retry_after(&actions, 1), "{actions:?}");
-    // Queued requests are answered as soon as their node leaves.
+    // Queued requests are rejected as soon as their node is removed.
     let queued: Vec<_> = (10..30).map(|id| arrival(id, 0, 0, 2 * SECOND)).collect();
     let actions = deliver(&mut scheduler, SECOND, &queued);
-    assert!(answer(&actions, 29).is_none(), "queued for a slot");
+    assert!(answer(&actions, 29).is_none(), "the request is queued");
     let removed = vec![endpoint("n0", 0, EndpointState::Removed, 0)];
     let actions = deliver(&mut scheduler, SECOND + 1_000, &[delta(removed)]);
     assert!(is_rejected_with_retry_after(&actions, 29), "{actions:?}");
@@ -80,15 +80,16 @@
     let retry_after_us = rejection.retry_after_us();
     assert!(
         retry_after_us.is_some_and(|after_us| after_us > SECOND / 4),
-        "to come when the backoff is over: {rejection:?}"
+        "Retry-After lasts until the backoff is over: {rejection:?}"
     );
     let long = deliver(&mut scheduler, now_us, &[arrival(51, 0, 0, now_us + 5 * SECOND)]);
-    assert_eq!(answer(&long, 51), None, "this one would still be sent");
+    assert_eq!(answer(&long, 51), None, "the request can be sent before it expires");
 }
 
 #[test]
 fn requests_that_may_not_be_retried_are_answered_at_once() {
-    // Class 2 must not run twice; class 1 carries an idempotency key, class 0 may run again.
+    // Class 0 is idempotent, requests of class 1 have an idempotency key, and those of class 2 must not run
+    // twice.
     for (class, outcome, rejected) in [
         (0, AttemptOutcome::Failed, None),
         (1, AttemptOutcome::Failed, None),
@@ -106,11 +107,11 @@
     let mut scheduler = scheduler_with_one_node(single_attempt);
     deliver(&mut scheduler, SECOND, &[arrival(1, 0, 0, 2 * SECOND)]);
     let actions = deliver(&mut scheduler, SECOND + 1, &[ended(1, AttemptOutcome::Rejected, 1)]);
-    assert!(answer(&actions, 1).is_some(), "its one attempt is spent");
+    assert!(answer(&actions, 1).is_some(), "the maximum of one attempt is reached");
 }
 
-/// A write with an idempotency key that may have run waits for its node, and fails when the node would no
-/// longer recognize the key.
+/// Guards against retries that nodes no longer recognize. A write with an idempotency key that may have run
+/// is retried only while the node recognizes the key, and fails after that.
 #[test]
 fn writes_fail_once_the_window_of_their_idempotency_key_has_passed() {
     const WINDOW_US: u64 = SECOND;
@@ -119,10 +120,10 @@
     deliver(&mut scheduler, SECOND, &[arrival(1, 1, 0, 3 * SECOND)]);
     let reset = ended(1, AttemptOutcome::ConnectionReset, 1_000);
     let actions = deliver(&mut scheduler, SECOND + 1_000, &[reset]);
-    assert_eq!(answer(&actions, 1), None, "a retry is still harmless");
+    assert_eq!(answer(&actions, 1), None, "the node still recognizes the key");
     let answered = (1..400).find_map(|step| {
         let now_us = SECOND + 1_000 + step * 5_000;
-        // Every retry's connection breaks.
+        // The connection of every retry breaks.
         let mut actions = deliver(&mut scheduler, now_us, &[Event::TimerFired(0)]);
         if actions.iter().any(|action| matches!(action, Action::SendAttempt { .. })) {
             let reset = ended(1, AttemptOutcome::ConnectionReset, 1);
@@ -139,20 +140,20 @@
 }
 
 #[test]
-fn requests_past_their_objective_are_given_up_if_late_answers_earn_nothing() {
-    for (late_weight_factor, expected) in [(0.0, true), (0.1, false)] {
+fn requests_past_their_objective_are_dropped_if_late_answers_earn_nothing() {
+    for (late_weight_factor, is_dropped) in [(0.0, true), (0.1, false)] {
         let mut settings = SchedulerSettings { max_attempts: None, ..settings() };
         settings.classes[0].late_weight_factor = late_weight_factor;
         let mut scheduler = scheduler_with_one_node(settings);
         let arrivals: Vec<_> = (0..20).map(|id| arrival(id, 0, 0, 2 * SECOND)).collect();
         deliver(&mut scheduler, SECOND, &arrivals);
         let actions = deliver(&mut scheduler, SECOND + 201_000, &[Event::TimerFired(0)]);
-        assert_eq!(answer(&actions, 19).is_some(), expected, "late weight factor {late_weight_factor}");
+        assert_eq!(answer(&actions, 19).is_some(), is_dropped, "late weight factor {late_weight_factor}");
     }
 }
 
 #[test]
-fn rate_limited_requests_get_spread_retry_after_and_disconnected_clients_nothing() {
+fn rate_limited_requests_get_a_spread_retry_after_and_disconnected_clients_no_answer() {
     let mut scheduler = scheduler_with_one_node(settings());
     let of_one_volume = |id| IncomingRequest {
         plan: PlanIndex(0),
@@ -169,14 +170,17 @@
     );
     let mut spread = retry_after_us.clone();
     spread.dedup();
-    assert!(spread.len() * 2 > retry_after_us.len(), "those that follow it do not come back at once");
+    assert!(
+        spread.len() * 2 > retry_after_us.len(),
+        "clients that honor Retry-After do not all retry at once"
+    );
     let disconnects: Vec<_> = (0..60).map(|id| Event::ClientDisconnected(RequestId(id))).collect();
     let after = deliver(&mut scheduler, 2 * SECOND - 400_000, &disconnects);
-    assert!((0..60).all(|id| answer(&after, id).is_none()), "a client that has left is owed nothing");
+    assert!((0..60).all(|id| answer(&after, id).is_none()), "disconnected clients get no answer");
 }
 
 #[test]
-fn attempts_of_disconnected_clients_are_cancelled_where_cancellation_is_allowed() {
+fn attempts_of_disconnected_clients_are_cancelled_if_cancellation_is_enabled() {
     for cancellation in [true, false] {
         let mut scheduler = Scheduler::new(SchedulerSettings { cancellation, ..settings() }, 1, 10);
         let arrivals = [snapshot(ready_endpoints(1)), arrival(1, 0, 0, SECOND), arrival(2, 0, 7, SECOND)];
@@ -190,21 +194,26 @@
     }
 }
 
-/// A request that was never sent is given up past its objective and half its time, when its client can still
-/// come again and a rejection costs no more than that. One that was sent stays until it is answered.
+/// Guards against a queue of late requests that outlives a surge. A request that was never sent is rejected
+/// once it is past its latency objective and half of its time to expiry. Its client can then still retry, and
+/// the rejection costs no more than that retry. A request that was sent stays open until it is answered.
 #[test]
-fn unsent_requests_are_given_up_at_half_their_time() {
+fn unsent_requests_are_rejected_after_half_their_time_to_expiry() {
     let mut fleet = SimulatedFleet::unrestricted(1, 1);
     let expires_at_us = fleet.now_us + SECOND;
     for id in 0..40 {
         fleet.submit(0, incoming_request(id, 0, 0, expires_at_us));
     }
     fleet.run_for(SECOND / 2 - 20_000);
-    assert!(fleet.rejected.is_empty(), "queued while it could still leave in time: {:?}", fleet.rejected);
+    assert!(
+        fleet.rejected.is_empty(),
+        "requests are queued while they can be sent in time: {:?}",
+        fleet.rejected
+    );
     fleet.run_for(40_000);
     let (unsent, sent): (Vec<_>, Vec<_>) =
         fleet.requests.values().partition(|tracked| tracked.attempts.is_empty());
     assert!(unsent.len() > 20);
-    assert!(unsent.iter().all(|tracked| tracked.finished), "given up");
-    assert!(sent.iter().all(|tracked| !tracked.finished), "still awaiting their answers");
+    assert!(unsent.iter().all(|tracked| tracked.finished), "unsent requests are rejected");
+    assert!(sent.iter().all(|tracked| !tracked.finished), "sent requests are still open");
 }
--- a/tests/latency_model.rs
+++ b/tests/latency_model.rs
@@ -62,7 +62,7 @@
 #[test]
 fn the_latency_budget_meets_its_target_and_is_finite_for_degenerate_variations() {
     // The mean disengagement of the exponential distribution, with objective a, deadline d and mean m, is
-    // 0.5 (exp(-a/m) + exp(-d/m)). It must be between 0.945 and 0.985 of the target of 2%.
+    // 0.5 (exp(-a/m) + exp(-d/m)). It is between 0.95 and 0.98 of the target of 2%.
     let mean = mean_latency_budget(1.0, 200.0, 1_000.0);
     let disengagement = 0.5 * ((-200.0 / mean).exp() + (-1_000.0 / mean).exp());
     assert!((0.0189..=0.0197).contains(&disengagement), "{disengagement}");
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -1,5 +1,4 @@
-//! What a scheduler infers from measured latencies, and how latency objectives and attempt timeouts follow
-//! from it.
+//! Tests of how measured latencies and latency objectives determine queueing deadlines and attempt timeouts.
 
 mod common;
 use common::*;
@@ -9,9 +8,10 @@
     fleet.sent.last().expect("an attempt")
 }
 
-/// At two requests per second the 5 s window never holds the 50 completions that are always kept; the model
-/// is fitted nevertheless. Steady latencies allow a budget near the objective, so class 0 is then due after
-/// class 1, for which nothing is known yet.
+/// Guards against a latency model that is never fitted at a low request rate. At two requests per second,
+/// only about 10 completions are younger than 5 s, too few for a fit, but the latest 50 are retained
+/// regardless of their age. After 30 steady latencies, the latency budget of class 0 is near its objective.
+/// Its queueing deadline is then later than that of class 1, which has no completions yet.
 #[test]
 fn the_latency_model_is_fitted_at_a_low_rate() {
     for (count, first) in [(4, 1_000), (30, 1_001)] {
@@ -31,8 +31,8 @@
     }
 }
 
-/// At a volume at its rate limit, a request that could only be sent after its objective gives way to those
-/// that can still meet theirs.
+/// Guards against a volume at its rate limit whose requests are all sent late. A request that could be sent
+/// only after its objective is dropped in favor of those that can still meet theirs.
 #[test]
 fn rate_limited_requests_are_not_sent_after_their_objective() {
     let mut fleet = SimulatedFleet::unrestricted(1, 1);
@@ -62,15 +62,15 @@
     assert!(fleet.sent.len() > 20);
 }
 
-/// Where the window is down to one, an attempt times out at its objective and is not retried; one that must
-/// not run twice is waited for.
+/// If the concurrency window has shrunk to one, an attempt times out at its latency objective and the request
+/// is not retried. The attempt of a non-idempotent request does not time out at the objective.
 #[test]
 fn attempts_at_a_slow_node_time_out_at_their_objective() {
     let mut fleet = SimulatedFleet::unrestricted(3, 1);
     fleet.submit_of_class(0, 0);
     fleet.advance();
     let timeouts: Vec<_> = fleet.sent.iter().map(|attempt| (attempt.request, attempt.timeout_us)).collect();
-    assert_eq!(timeouts, [(0, None)], "no timeout before the node has been slow");
+    assert_eq!(timeouts, [(0, None)], "no timeout unless the node is slow");
     fleet.submit_one_by_one(1..21, 150_000, 0);
     for (id, class, timeout_us) in [(100, 0, Some(200_000)), (101, 2, None)] {
         fleet.submit_of_class(id, class);
@@ -89,16 +89,17 @@
     assert!(fleet.rejected.contains(&100));
 }
 
-/// An attempt that had next to no time is no evidence against its node: the next is sent at once, and one
-/// with less time left until its objective than an attempt takes gets no timeout. Silence still counts, once
-/// it adds up.
+/// Guards against a healthy node that counts as failing because attempts had too little time. After such an
+/// attempt times out, the next request is sent at once. An attempt gets no timeout if less time remains until
+/// its objective than it is expected to take. The node still counts as failing once the durations of its
+/// unanswered attempts add up.
 #[test]
 fn attempts_with_little_time_left_do_not_count_as_node_failures() {
     let mut fleet = SimulatedFleet::unrestricted(3, 1);
     fleet.submit_of_class(0, 0);
     fleet.advance();
     fleet.submit_one_by_one(1..21, 150_000, 0);
-    // All but 10 ms until its objective is over.
+    // Only 10 ms remain until the latency objective of this request.
     let expires_at_us = fleet.now_us + SECOND - 190_000;
     fleet.submit(0, incoming_request(100, 0, 0, expires_at_us));
     fleet.advance();
@@ -119,5 +120,8 @@
         fleet.submit_of_class(id, 0);
     }
     fleet.run_for(2 * TICK);
-    assert!(fleet.requests[&111].attempts.is_empty(), "a silent node is left alone for a while");
+    assert!(
+        fleet.requests[&111].attempts.is_empty(),
+        "a node that does not answer is not sent attempts during its backoff"
+    );
 }
--- a/tests/overloaded_nodes.rs
+++ b/tests/overloaded_nodes.rs
@@ -1,19 +1,20 @@
-//! How gateways treat a node that is overloaded or silent, and how they come back to it.
+//! Tests of how gateways limit attempts at a node that is overloaded or does not answer, and of how they
+//! return to their ordinary rate.
 
 mod common;
 use common::*;
 use storage_gateway::scheduler::*;
 
-/// What one gateway sent in two seconds.
+/// Number of attempts that one gateway sent in two seconds.
 struct SentInTwoSeconds {
-    /// After a node, once quick, made every attempt wait 700 ms.
+    /// Immediately after attempts at a previously fast node took 700 ms each.
     while_overloaded: usize,
-    /// When the node had been quick again for a while.
+    /// After the node has been fast again for seven seconds.
     after_recovery: usize,
 }
 
-/// Submits requests every 50 ms, answered after 40 ms, and returns how many attempts were sent.
-fn sent_while_quick(fleet: &mut SimulatedFleet, ids: std::ops::Range<u32>) -> usize {
+/// Submits a request every 50 ms, answers attempts after 40 ms, and returns the number of attempts sent.
+fn sent_while_fast(fleet: &mut SimulatedFleet, ids: std::ops::Range<u32>) -> usize {
     let before = fleet.sent.len();
     for id in ids {
         fleet.submit_of_class(id, 1);
@@ -26,48 +27,48 @@
     let mut fleet = SimulatedFleet::unrestricted(gateways, 1);
     fleet.submit_one_by_one(0..40, 40_000, 0);
     fleet.submit_one_by_one(100..108, 700_000, 0);
-    let while_overloaded = sent_while_quick(&mut fleet, 200..240);
-    sent_while_quick(&mut fleet, 300..400);
-    SentInTwoSeconds { while_overloaded, after_recovery: sent_while_quick(&mut fleet, 500..540) }
+    let while_overloaded = sent_while_fast(&mut fleet, 200..240);
+    sent_while_fast(&mut fleet, 300..400);
+    SentInTwoSeconds { while_overloaded, after_recovery: sent_while_fast(&mut fleet, 500..540) }
 }
 
 #[test]
-fn attempts_are_paced_at_an_overloaded_node_of_many_gateways_only() {
+fn attempts_at_an_overloaded_node_are_paced_only_in_large_fleets() {
     let few = sent_to_an_overloaded_node(3).while_overloaded;
     let SentInTwoSeconds { while_overloaded: many, after_recovery } = sent_to_an_overloaded_node(80);
-    assert!(many + 10 <= few, "one of 80 gateways sends less than one of 3: {many}, {few}");
-    assert!(after_recovery > 30, "quick answers end it: {after_recovery}");
+    assert!(many + 10 <= few, "one of 80 gateways sends less than one of 3: {many} and {few} attempts");
+    assert!(after_recovery > 30, "low latencies end the pacing: {after_recovery}");
 }
 
 /// Whether the node answers attempts.
 #[derive(Clone, Copy, PartialEq)]
-enum NodeBehaviour {
+enum NodeBehavior {
     Answering,
     Silent,
 }
 
-/// Submits 200 requests in ten seconds and returns how many attempts were sent. At a silent node, attempts
-/// end with their timeouts.
-fn sent_in_ten_seconds(fleet: &mut SimulatedFleet, first_id: u32, node: NodeBehaviour) -> usize {
+/// Submits 200 requests in ten seconds and returns the number of attempts sent. Attempts at a silent node end
+/// when they time out.
+fn sent_in_ten_seconds(fleet: &mut SimulatedFleet, first_id: u32, node: NodeBehavior) -> usize {
     let before = fleet.sent.len();
     for id in first_id..first_id + 200 {
-        // Beyond any reservation, hence with a third of the weight.
+        // Plan 0 has no reservation, so its requests earn only about a third of their priority weight.
         let expires_at_us = fleet.now_us + SECOND;
         fleet.submit(0, IncomingRequest { plan: PlanIndex(0), ..incoming_request(id, 0, 0, expires_at_us) });
         fleet.run_for(50_000);
         for attempt in fleet.in_flight() {
             match node {
-                NodeBehaviour::Answering => {
+                NodeBehavior::Answering => {
                     fleet.finish_attempt(attempt.request, AttemptOutcome::Succeeded);
                 }
-                NodeBehaviour::Silent => finish_if_timed_out(fleet, &attempt),
+                NodeBehavior::Silent => finish_if_timed_out(fleet, &attempt),
             }
         }
     }
     fleet.sent.len() - before
 }
 
-/// Ends the attempt if the timeout of its request's first attempt has passed.
+/// Ends the attempt as timed out once it has lasted as long as the timeout of its request's first attempt.
 fn finish_if_timed_out(fleet: &mut SimulatedFleet, attempt: &InFlightAttempt) {
     let first = fleet.sent.iter().find(|sent| sent.request == attempt.request);
     let timeout_us = first.and_then(|first| first.timeout_us).unwrap_or(0);
@@ -76,24 +77,25 @@
     }
 }
 
-/// A node that answers no attempt before its objective is left alone but for an attempt now and then; once it
-/// answers again, the gateway is back at its ordinary path within the next ten seconds, most of them at full
-/// rate.
+/// Guards against a gateway that overloads a silent node or does not resume its ordinary rate. While a node
+/// answers no attempt before its objective, the gateway sends only occasional attempts. Once the node answers
+/// again, the gateway returns to its ordinary scheduling within ten seconds, and sends at the full rate for
+/// most of that time.
 #[test]
 fn a_gateway_recovers_from_a_period_without_answers() {
     let mut fleet = SimulatedFleet::unrestricted(80, 1);
     fleet.submit_one_by_one(0..40, 40_000, 0);
     fleet.submit_one_by_one(100..112, 60_000, 0);
-    let silent = sent_in_ten_seconds(&mut fleet, 1_000, NodeBehaviour::Silent);
-    let answering = sent_in_ten_seconds(&mut fleet, 2_000, NodeBehaviour::Answering);
-    assert!(silent <= 25, "{silent} attempts in ten seconds, all in vain");
-    assert!(answering >= 150, "{answering} attempts in ten seconds once answers are quick");
+    let silent = sent_in_ten_seconds(&mut fleet, 1_000, NodeBehavior::Silent);
+    let answering = sent_in_ten_seconds(&mut fleet, 2_000, NodeBehavior::Answering);
+    assert!(silent <= 25, "{silent} attempts in ten seconds without an answer");
+    assert!(answering >= 150, "{answering} attempts in ten seconds after the node answers again");
 }
 
-/// A node that has left an attempt unanswered for longer than another node takes gets no new objects
-/// meanwhile, though no answer of its own is evidence against it.
+/// Guards against sending new objects to a node that does not answer. The node has no measured latency, but
+/// its attempt in flight has already taken longer than attempts take at another node.
 #[test]
-fn new_objects_avoid_a_node_that_answers_nothing() {
+fn new_objects_are_not_sent_to_a_node_that_does_not_answer() {
     let unrestricted = SchedulerSettings { slow_start: None, ..settings() };
     let mut scheduler = Scheduler::new(unrestricted, 1, SECOND);
     let unanswered = arrival(1, 1, 0, 3 * SECOND);
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -1,18 +1,18 @@
-//! The rules of the platform, each as a sequence of events; the simulated fleet checks every action against
-//! all of them.
+//! Tests of the rules of the platform. Each test runs a sequence of events for one rule, and the simulated
+//! fleet checks every action against all rules.
 
 mod common;
 use common::*;
 use storage_gateway::scheduler::*;
 
-/// Three gateways that know three nodes, with every rule in force.
+/// Returns a fleet of three gateways with three ready nodes and all rules enabled.
 fn fleet() -> SimulatedFleet {
     let mut fleet = SimulatedFleet::with_ready_nodes(settings(), 3);
     fleet.advance();
     fleet
 }
 
-/// A request of the volume with a rate limit whose requests come through all gateways.
+/// Returns a request of volume 7, which has a rate limit and whose requests arrive through three gateways.
 fn limited_request(id: u32, shard: u32, expires_at_us: u64) -> IncomingRequest {
     IncomingRequest {
         plan: PlanIndex(0),
@@ -26,12 +26,12 @@
 fn every_request_is_answered_in_time() {
     let mut fleet = fleet();
     fleet.submit_to_shard(1, 0, 0); // in flight until its deadline
-    fleet.submit_to_shard(2, 0, 9); // no node holds its shard
+    fleet.submit_to_shard(2, 0, 9); // no node serves its shard
     fleet.submit_to_shard(3, 1, 0);
     fleet.run_for(3 * SECOND);
     assert!(fleet.requests.values().all(|tracked| tracked.finished));
     assert!(fleet.rejected.contains(&2), "a request that was never sent is rejected");
-    assert!(fleet.failed.contains(&3), "a write with a key that may have run fails");
+    assert!(fleet.failed.contains(&3), "a request with an idempotency key that may have run fails");
 }
 
 #[test]
@@ -59,7 +59,11 @@
     fleet.finish_attempt(1, AttemptOutcome::Rejected);
     fleet.finish_attempt(2, AttemptOutcome::ConnectionReset);
     fleet.run_for(2 * SECOND);
-    assert_eq!(fleet.requests[&1].attempts.len(), 2, "rejected by the node unread: retried");
+    assert_eq!(
+        fleet.requests[&1].attempts.len(),
+        2,
+        "retried, because the node rejected it without reading it"
+    );
     assert_eq!(fleet.requests[&2].attempts.len(), 1);
     assert!(fleet.failed.contains(&2));
 }
@@ -88,7 +92,7 @@
 
 const DRAIN_GRACE_US: u64 = 2 * SECOND;
 
-/// A fleet whose draining nodes may be sent work within a grace.
+/// Returns a fleet whose rules allow work for a draining node within the drain grace.
 fn fleet_with_drain_grace(settings: SchedulerSettings) -> SimulatedFleet {
     let settings = SchedulerSettings { drain_grace_us: DRAIN_GRACE_US, ..settings };
     let mut fleet = SimulatedFleet::new(settings);
@@ -97,8 +101,8 @@
     fleet
 }
 
-/// After some failed polls, an update of this kind says that n0 drains; then its shard gets a request every
-/// 100 ms.
+/// Fails polls, announces by an update of this kind that n0 is draining, and then submits a request for the
+/// shard of n0 every 100 ms.
 fn fleet_with_draining_node(
     update: UpdateKind,
     failed_polls: usize,
@@ -122,17 +126,21 @@
 fn draining_nodes_serve_their_shard_within_the_grace() {
     let fleet = fleet_with_draining_node(EndpointUpdate::Delta, 0, &[]);
     let sent = fleet.sent.len();
-    assert!((12..20).contains(&sent), "until a connection could be late: {sent}");
+    assert!((12..20).contains(&sent), "sent until a connection might be established after the grace: {sent}");
     let successor = endpoint("n9", 0, EndpointState::Ready, 0);
     let fleet = fleet_with_draining_node(EndpointUpdate::Delta, 0, &[successor]);
-    assert!(fleet.sent.iter().all(|attempt| *attempt.node == *"n9"), "its successor takes the work");
-    // The node may have begun to drain long before the update: the grace counts as over.
+    assert!(
+        fleet.sent.iter().all(|attempt| *attempt.node == *"n9"),
+        "requests are sent to the successor of the node"
+    );
+    // After a failed poll, or with a snapshot, the node may have started to drain long before the update. The
+    // grace then counts as over.
     assert!(fleet_with_draining_node(EndpointUpdate::Delta, 1, &[]).sent.is_empty());
     assert!(fleet_with_draining_node(EndpointUpdate::Snapshot, 0, &[]).sent.is_empty());
 }
 
 #[test]
-fn draining_nodes_that_reject_a_request_are_not_retried() {
+fn requests_rejected_by_a_draining_node_are_not_retried() {
     let mut fleet = fleet_with_drain_grace(settings());
     let draining = endpoint("n0", 0, EndpointState::Draining, 0);
     fleet.update_endpoints_everywhere(EndpointUpdate::Delta, &[draining]);
@@ -140,7 +148,7 @@
     fleet.advance();
     fleet.finish_attempt(1, AttemptOutcome::Rejected);
     fleet.advance();
-    assert_eq!(fleet.rejected, [1], "answered at once, not retried");
+    assert_eq!(fleet.rejected, [1], "rejected at once, not retried");
 }
 
 #[test]
@@ -155,14 +163,14 @@
     fleet.submit_to_shard(3, 0, 2);
     fleet.advance();
     assert_eq!(fleet.requests_sent_since(0), [3]);
-    // A snapshot without the node removes it; a failed poll changes nothing.
+    // A snapshot removes the nodes that it does not list. A failed poll changes nothing.
     fleet.update_endpoints_everywhere(EndpointUpdate::Snapshot, &ready_endpoints(2));
     fleet.notify(0, poll_failed());
     fleet.submit_to_shard(4, 0, 2);
     fleet.submit_to_shard(5, 0, 0);
     fleet.run_for(10 * TICK);
     assert!(fleet.requests[&4].attempts.is_empty());
-    assert_eq!(fleet.requests[&5].attempts.len(), 1, "ready again by the snapshot");
+    assert_eq!(fleet.requests[&5].attempts.len(), 1, "the snapshot lists the node as ready");
 }
 
 #[test]
@@ -178,7 +186,7 @@
     }
     let is_early = |attempt: &&SentAttempt| attempt.at_us < started_at_us + SECOND;
     let early_units: f64 = fleet.sent.iter().filter(is_early).count() as f64 * 2.0;
-    assert!(early_units >= 4.0, "it is used all the same: {early_units} units");
+    assert!(early_units >= 4.0, "the node is sent work from its start: {early_units} units");
     let is_late = |attempt: &&SentAttempt| attempt.at_us > started_at_us + 10 * SECOND;
     let late = fleet.sent.iter().filter(is_late).count();
     assert!(late > 60, "the allowance grows as the node warms up: {late}");
@@ -196,12 +204,12 @@
     assert_eq!(fleet.sent.len(), 1);
     fleet.finish_attempt(1, AttemptOutcome::ConnectionReset);
     fleet.run_for(50_000);
-    assert_eq!(fleet.sent.len(), 1, "the block rests after an attempt that may still run");
+    assert_eq!(fleet.sent.len(), 1, "the ordering gap follows an attempt that may still be running");
     fleet.run_for(100_000);
     assert_eq!(fleet.sent.len(), 2);
     fleet.finish_attempt(2, AttemptOutcome::Succeeded);
     fleet.run_for(10_000);
-    assert_eq!(fleet.sent.len(), 3, "after an answer it does not");
+    assert_eq!(fleet.sent.len(), 3, "no ordering gap follows an answer");
 }
 
 #[test]
@@ -220,12 +228,13 @@
     }
     let retries: usize =
         fleet.requests.values().map(|tracked| tracked.attempts.len().saturating_sub(1)).sum();
-    assert!(retries >= 8, "the budget is used: {retries}");
+    assert!(retries >= 8, "the budget is used: {retries} retries");
 }
 
-/// One volume requests far beyond its limit, through gateways of which one is killed again and again.
+/// Guards against exceeding a rate limit through several gateways or by restarts. One volume requests far
+/// more than its limit through three gateways, one of which is restarted repeatedly.
 #[test]
-fn a_rate_limit_holds_over_all_gateways_and_restarts() {
+fn a_rate_limit_holds_across_gateways_and_restarts() {
     const UNITS: f64 = 4.0;
     let mut fleet = fleet();
     let mut id = 0;
@@ -256,10 +265,11 @@
     assert!(fleet.rejected.len() > 30, "{} rejected at once", fleet.rejected.len());
 }
 
-/// Requests of one volume may name two plans: while it has no limit, it gathers no credit for the limited
-/// plan.
+/// Guards against a volume that bypasses its rate limit by changing its plan. Requests of one volume may have
+/// different plans. A request whose plan has no limit must not give the volume tokens for the plan with a
+/// limit.
 #[test]
-fn a_plan_without_a_limit_leaves_no_credit_for_a_limited_one() {
+fn a_plan_without_a_rate_limit_gives_no_tokens_to_a_limited_plan() {
     let mut fleet = fleet();
     fleet.run_for(5 * SECOND);
     let expires_at_us = fleet.now_us + SECOND;
@@ -272,7 +282,7 @@
         fleet.submit(0, limited_request(id, id % 3, expires_at_us));
     }
     fleet.advance();
-    assert_eq!(fleet.sent.len(), sent_before, "the overdraft is used up, and there is nothing else");
+    assert_eq!(fleet.sent.len(), sent_before, "the overdraft is used up and no tokens are left");
 }
 
 #[test]
@@ -280,7 +290,7 @@
     let on_request = SchedulerSettings { endpoints_on_request: true, ..settings() };
     let mut fleet = SimulatedFleet::with_ready_nodes(on_request, 3);
     fleet.advance();
-    assert_eq!(fleet.watches_at_us.len(), 3, "each gateway watches from its start");
+    assert_eq!(fleet.watches_at_us.len(), 3, "each gateway watches the list from its start");
     fleet.notify(0, poll_failed());
     fleet.run_for(5 * SECOND);
     assert_eq!(fleet.watches_at_us.len(), 4, "a failed poll is retried, once");
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -20,7 +20,7 @@
     DisconnectClient { choice: usize },
     RestartGateway { gateway: usize },
     Wait { ticks: u64 },
-    SendUnknownNames { gateway: usize },
+    SendUnknownReferences { gateway: usize },
 }
 
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
         1 => any::<usize>().prop_map(|choice| Step::DisconnectClient { choice }),
         1 => (0..GATEWAYS).prop_map(|gateway| Step::RestartGateway { gateway }),
         8 => (0u64..100).prop_map(|ticks| Step::Wait { ticks }),
-        1 => (0..GATEWAYS).prop_map(|gateway| Step::SendUnknownNames { gateway }),
+        1 => (0..GATEWAYS).prop_map(|gateway| Step::SendUnknownReferences { gateway }),
     ]
 }
 
@@ -108,7 +108,7 @@
             Step::DisconnectClient { choice } => self.disconnect_client(choice),
             Step::RestartGateway { gateway } => self.fleet.restart_gateway(gateway, &self.endpoints),
             Step::Wait { ticks } => (0..ticks).for_each(|_| self.fleet.advance()),
-            Step::SendUnknownNames { gateway } => self.send_unknown_names(gateway),
+            Step::SendUnknownReferences { gateway } => self.send_unknown_references(gateway),
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Sends events that refer to requests, nodes and timers that are unknown to the gateway.
-    fn send_unknown_names(&mut self, gateway: usize) {
+    fn send_unknown_references(&mut self, gateway: usize) {
         let health_check = Event::HealthCheckCompleted {
             node: "nowhere".into(),
             outcome: AttemptOutcome::Succeeded,
--- a/tests/scheduling_exceptions.rs
+++ b/tests/scheduling_exceptions.rs
@@ -40,7 +40,11 @@
         fleet.submit_of_class(id, 0);
     }
     fleet.advance();
-    assert_eq!(fleet.in_flight().len(), 1, "latency is three quarters of the objective");
+    assert_eq!(
+        fleet.in_flight().len(),
+        1,
+        "one attempt at a time, as latency is three quarters of the objective"
+    );
 }
 
 #[test]
