--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -103,9 +103,7 @@
         for earlier in tracked.attempts.iter().filter(|earlier| earlier.may_have_run) {
             match self.class_of(tracked).idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => {
-                    panic!("{id} is not idempotent and may have run, but was sent again")
-                }
+                Idempotency::NonIdempotent => panic!("{id} may have run and must not run again"),
                 Idempotency::WithKey { scope, window_us } => {
                     assert!(
                         self.now_us <= earlier.sent_at_us + window_us,
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -110,8 +110,8 @@
     assert!(answer(&actions, 1).is_some(), "the maximum of one attempt is reached");
 }
 
-/// Guards against retries that nodes no longer recognize. A write with an idempotency key that may have run
-/// is retried only while the node recognizes the key, and fails after that.
+/// Guards against retries whose idempotency key nodes no longer recognize. A write with an idempotency key
+/// that may have run is retried only while the node recognizes the key, and fails after that.
 #[test]
 fn writes_fail_once_the_window_of_their_idempotency_key_has_passed() {
     const WINDOW_US: u64 = SECOND;
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -89,7 +89,7 @@
     assert!(fleet.rejected.contains(&100));
 }
 
-/// Guards against a healthy node that counts as failing because attempts had too little time. After such an
+/// Guards against treating a healthy node as failing because attempts had too little time. After such an
 /// attempt times out, the next request is sent at once. An attempt gets no timeout if less time remains until
 /// its objective than it is expected to take. The node still counts as failing once the durations of its
 /// unanswered attempts add up.
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -92,7 +92,7 @@
 
 const DRAIN_GRACE_US: u64 = 2 * SECOND;
 
-/// Returns a fleet whose rules allow work for a draining node within the drain grace.
+/// Returns a fleet in which draining nodes may still be sent work for `DRAIN_GRACE_US`.
 fn fleet_with_drain_grace(settings: SchedulerSettings) -> SimulatedFleet {
     let settings = SchedulerSettings { drain_grace_us: DRAIN_GRACE_US, ..settings };
     let mut fleet = SimulatedFleet::new(settings);
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -130,8 +130,9 @@
         self.fleet.submit(gateway, request);
     }
 
-    /// Changes the endpoint of a node and notifies the gateway. A restart is reported to all gateways,
-    /// because the check of slow start counts the units sent by all of them.
+    /// Changes the endpoint of a node and notifies the gateway. All gateways are notified of a restart,
+    /// because the rule on slow start counts only the units sent by gateways that were notified, while the
+    /// check counts the units sent by all gateways.
     fn update_endpoint(&mut self, gateway: usize, node: usize, state: EndpointState, restarted: bool) {
         let endpoint = &mut self.endpoints[node];
         endpoint.state = state;
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -243,7 +243,7 @@
 /// Guards against overloading or idling a node that is warming up, with 3, 45 and 170 gateways. Together they
 /// request about twice what the node can serve. They are notified of its restarts at different times, and
 /// some of them restart with an older endpoint list. The gateways that were notified must stay within the
-/// allowance, and the node must be sent at least a quarter (3 gateways) or four tenths of the units that it
+/// allowance, and the node must be sent more than a quarter (3 gateways) or four tenths of the units that it
 /// can serve.
 #[test]
 fn a_fleet_uses_but_does_not_exceed_the_allowance_of_a_warming_up_node() {
