--- a/tests/exchange_player/gateway_process.rs
+++ b/tests/exchange_player/gateway_process.rs
@@ -1,22 +1,23 @@
-//! The gateway under test, as a process of its own.
+//! Runs the gateway under test as a child process.
 
 use std::io::{BufRead, BufReader, Read};
 use std::path::Path;
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// What the log line on a listening socket says before the address.
+/// Start of the log line that reports the address of a listening socket.
 const SERVING_PREFIX: &str = "storage-gateway: serving on ";
 
-/// A running gateway; it is killed when this is dropped.
+/// A running gateway; dropping the value kills the process.
 pub struct GatewayProcess {
     child: Child,
     log: BufReader<ChildStderr>,
-    /// Where it listens: for clients, and for admin requests if it serves the object API.
+    /// The listening addresses: first the one for clients and, if the gateway serves the object API, then the
+    /// one for admin requests.
     addresses: Vec<String>,
 }
 
 impl GatewayProcess {
-    /// Starts the gateway with the configuration in the folder, and waits until it listens.
+    /// Starts the gateway with the configuration in the folder, and waits until the gateway listens.
     pub fn start(folder: &Path) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
         let is_platform = folder.join("config.json").exists();
@@ -24,7 +25,7 @@
             true => command.env("GW_CONFIG", "config.json"),
             false => command.arg("--config").arg("config.toml"),
         };
-        // From within the folder, so that no message names the place of the checkout.
+        // Runs in the folder, so that no message contains the path of the checkout.
         command.current_dir(folder);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap());
@@ -58,7 +59,7 @@
         assert!(status.success());
     }
 
-    /// Returns the exit status and the rest of the log.
+    /// Waits until the gateway exits. Returns its exit status and the rest of its log.
     pub fn wait_for_exit(&mut self) -> String {
         let status = self.child.wait().unwrap();
         let mut log = String::new();
@@ -69,7 +70,7 @@
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Errors are ignored: the process may have exited by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/exchange_player/mod.rs
+++ b/tests/exchange_player/mod.rs
@@ -1,9 +1,9 @@
-//! Plays a script of clients, storage nodes and discovery against the gateway, over real sockets.
+//! Plays the clients, storage nodes and discovery of a script against the gateway, over real sockets.
 //!
-//! A script is a text file of steps, each headed by a line such as `== client a sends` or `== node n1 gets`;
-//! what is sent stands below it. The transcript of all that came back is compared with a snapshot. Nothing
-//! here asserts on time: a step waits until its bytes are there, and only a test that has failed already
-//! waits until [`STEP_TIMEOUT`].
+//! A script is a text file of steps. Each step starts with a command such as `== client a sends` or
+//! `== node n1 gets`; the lines below a sending command are the data to send. The data that the gateway sends
+//! is recorded in a transcript, which the test compares with a snapshot. The duration of a step is never
+//! asserted: a step waits until its data has arrived, and only a failing test reaches [`STEP_TIMEOUT`].
 
 mod gateway_process;
 mod peers;
@@ -12,29 +12,30 @@
 
 use gateway_process::GatewayProcess;
 use peers::{ClientPeer, NodePeer, read};
-use script::{ClientAction, NodeAction, ReadUntil, ScriptStep, Step};
+use script::{Action, ClientAction, NodeAction, ReadUntil, ScriptStep};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use transcript::{Placeholders, Transcript};
 
-/// How long a step waits for what it expects.
+/// Maximum time that a step waits for the event or the data that it expects.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a step looks for what it expects.
+/// Interval between two checks for the event that a step expects.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// The peers that listen; scripts and configurations name their addresses `{n1}` and so on.
+/// The peers that listen. Scripts and configurations refer to their addresses as `{n1}`, `{n2}` and
+/// `{discovery}`.
 const NODES: [&str; 3] = ["n1", "n2", "discovery"];
-/// The client of this name connects to the admin API.
+/// Name of the client that connects to the admin API; all other clients connect to the client address.
 const ADMIN_CLIENT: &str = "admin";
 
-/// Plays the script `tests/exchanges/NAME.txt` and returns the transcript. The part of the name before the
-/// first underscore is the folder with the gateway's configuration.
+/// Plays the script `tests/exchanges/NAME.txt` and returns the transcript. The part of NAME before the first
+/// underscore names the folder below `tests/exchanges/` that contains the gateway's configuration.
 pub fn play_script(name: &str) -> String {
     let text = std::fs::read_to_string(format!("tests/exchanges/{name}.txt")).unwrap();
     let configuration = name.split('_').next().unwrap();
     let mut player = ExchangePlayer::start(configuration, name);
     for step in script::parse(&text) {
-        player.transcript.start_step(&step.head);
+        player.transcript.start_step(&step.command);
         player.run_step(step);
     }
     player.transcript.into_text()
@@ -67,26 +68,26 @@
 
     fn run_step(&mut self, step: ScriptStep) {
         let content = step.content;
-        match step.step {
-            Step::Client { name, action } => self.run_client_action(&name, action, &content),
-            Step::ConnectSilentClients { count } => self.connect_silent_clients(count),
-            Step::Node { name, action } => self.run_node_action(&name, action, &content),
-            Step::CheckTimeLeft { at_most } => {
-                let time_left = self.transcript.time_left().expect("a request with a deadline");
-                assert!(time_left <= at_most, "the node was given {time_left:?}");
+        match step.action {
+            Action::Client { name, action } => self.run_client_action(&name, action, &content),
+            Action::ConnectSilentClients { count } => self.connect_silent_clients(count),
+            Action::Node { name, action } => self.run_node_action(&name, action, &content),
+            Action::CheckDeadline { at_most } => {
+                let remaining = self.transcript.remaining_time().expect("a request with a valid deadline");
+                assert!(remaining <= at_most, "the node received a deadline of {remaining:?}");
             }
-            Step::WriteFile { name } => {
+            Action::WriteFile { name } => {
                 let text = self.transcript.placeholders.fill_in(&content);
                 std::fs::write(self.folder.join(name), text).unwrap();
             }
-            Step::ReplaceAddress { file, from, to } => self.replace_address(&file, &from, &to),
-            Step::Wait(duration) => std::thread::sleep(duration),
-            Step::ReadLogLine => {
+            Action::ReplaceAddress { file, from, to } => self.replace_address(&file, &from, &to),
+            Action::Wait(duration) => std::thread::sleep(duration),
+            Action::ReadLogLine => {
                 let line = self.gateway.read_log_line();
                 self.transcript.record(line.as_bytes());
             }
-            Step::Signal { name } => self.gateway.send_signal(&name),
-            Step::AwaitExit => {
+            Action::Signal { name } => self.gateway.send_signal(&name),
+            Action::AwaitExit => {
                 let exit = self.gateway.wait_for_exit();
                 self.transcript.push_unmasked(&exit);
             }
@@ -96,7 +97,7 @@
     fn run_client_action(&mut self, name: &str, action: ClientAction, content: &str) {
         match action {
             ClientAction::SendMessage => {
-                let message = self.transcript.placeholders.message(content);
+                let message = self.transcript.placeholders.encode_message(content);
                 self.connected_client(name).send(&message);
             }
             ClientAction::SendBytes => self.connected_client(name).send(content.as_bytes()),
@@ -106,7 +107,7 @@
             }
             ClientAction::Read(until) => {
                 let bytes = self.client(name).read(until);
-                self.transcript.note_upload_id(&bytes);
+                self.transcript.capture_upload_id(&bytes);
                 self.transcript.record(&bytes);
             }
             ClientAction::Disconnect => drop(self.clients.remove(name)),
@@ -116,30 +117,30 @@
     fn run_node_action(&mut self, name: &str, action: NodeAction, content: &str) {
         match action {
             NodeAction::ReadMessage => {
-                self.wait_for_node(name, "bytes", |node| node.has_bytes());
+                self.wait_for_node(name, "bytes", |node| node.poll_for_bytes());
                 let bytes = read(self.node(name).connection(), ReadUntil::MessageEnd);
                 self.transcript.record(&bytes);
             }
             NodeAction::SendMessage => {
-                let message = self.transcript.placeholders.message(content);
+                let message = self.transcript.placeholders.encode_message(content);
                 self.node(name).send(&message);
             }
             NodeAction::SendBytes => self.node(name).send(content.as_bytes()),
             NodeAction::CloseConnection => self.node(name).close_connection(),
-            NodeAction::Die => self.node(name).die(),
+            NodeAction::Terminate => self.node(name).terminate(),
             NodeAction::ExpectClosed => {
                 assert_eq!(read(self.node(name).connection(), ReadUntil::Closed), b"");
             }
             NodeAction::ExpectNothing => {
-                assert!(!self.node(name).has_bytes(), "{name} was sent something");
+                assert!(!self.node(name).poll_for_bytes(), "{name} has received unexpected bytes");
             }
             NodeAction::FillBacklog => self.node(name).fill_backlog(),
             NodeAction::FreeBacklog => self.node(name).free_backlog(),
-            NodeAction::AwaitConnecting => {
+            NodeAction::AwaitConnectionAttempt => {
                 self.wait_for_node(name, "a connection attempt", |node| node.is_being_connected_to());
             }
-            NodeAction::AwaitConnectingOrAnswer { client } => {
-                self.wait_for_connecting_or_answer(name, &client);
+            NodeAction::AwaitConnectionAttemptOrAnswer { client } => {
+                self.wait_for_connection_attempt_or_answer(name, &client);
             }
             NodeAction::AwaitConnection => self.wait_for_connection(name),
         }
@@ -149,7 +150,7 @@
         self.clients.get_mut(name).unwrap()
     }
 
-    /// The client, connected if it is not yet.
+    /// Returns the client, and connects it first if it is not connected.
     fn connected_client(&mut self, name: &str) -> &mut ClientPeer {
         let gateway = &self.gateway;
         let address =
@@ -168,27 +169,27 @@
         self.nodes.get_mut(name).unwrap()
     }
 
-    fn wait_for_node(&mut self, name: &str, what: &str, mut done: impl FnMut(&mut NodePeer) -> bool) {
+    fn wait_for_node(&mut self, name: &str, event: &str, mut occurred: impl FnMut(&mut NodePeer) -> bool) {
         let node = self.nodes.get_mut(name).unwrap();
-        wait_until(&format!("{what} at {name}"), &self.transcript, || done(node));
+        wait_until(&format!("{event} at {name}"), &self.transcript, || occurred(node));
     }
 
     fn wait_for_connection(&mut self, name: &str) {
         let before = self.node(name).connection_count();
         self.wait_for_node(name, "a connection", |node| {
-            node.has_bytes();
+            node.poll_for_bytes();
             node.connection_count() > before
         });
     }
 
-    fn wait_for_connecting_or_answer(&mut self, node: &str, client: &str) {
+    fn wait_for_connection_attempt_or_answer(&mut self, node: &str, client: &str) {
         let (node, client) = (&self.nodes[node], &self.clients[client]);
         wait_until("a connection attempt or an answer", &self.transcript, || {
             node.is_being_connected_to() || client.has_answer()
         });
     }
 
-    /// Replaces the first occurrence of an address in a file.
+    /// Replaces the first occurrence of the address `from` in a file with `to`; either may be a placeholder.
     fn replace_address(&self, file: &str, from: &str, to: &str) {
         let placeholders = &self.transcript.placeholders;
         let (from, to) = (placeholders.fill_in(from), placeholders.fill_in(to));
@@ -199,7 +200,7 @@
     }
 }
 
-/// Copies the files of a configuration, with the addresses of the peers filled in.
+/// Copies the files of a configuration and replaces the placeholders in them with the peers' addresses.
 fn copy_configuration(from: &Path, to: &Path, placeholders: &Placeholders) {
     std::fs::create_dir_all(to).unwrap();
     for file in std::fs::read_dir(from).unwrap().map(|file| file.unwrap()) {
@@ -208,10 +209,11 @@
     }
 }
 
-fn wait_until(what: &str, transcript: &Transcript, mut done: impl FnMut() -> bool) {
+/// Waits until the event has occurred; fails the test after [`STEP_TIMEOUT`].
+fn wait_until(event: &str, transcript: &Transcript, mut occurred: impl FnMut() -> bool) {
     let end = Instant::now() + STEP_TIMEOUT;
-    while !done() {
-        assert!(Instant::now() < end, "waited for {what}; so far:\n{}", transcript.text());
+    while !occurred() {
+        assert!(Instant::now() < end, "timed out waiting for {event}; transcript:\n{}", transcript.text());
         std::thread::sleep(CHECK_INTERVAL);
     }
 }
--- a/tests/exchange_player/peers.rs
+++ b/tests/exchange_player/peers.rs
@@ -1,14 +1,14 @@
-//! The gateway's peers: clients, and storage nodes or discovery.
+//! Test peers of the gateway: clients, storage nodes and discovery.
 
 use super::STEP_TIMEOUT;
 use super::script::ReadUntil;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The end of a head.
+/// The empty line that ends the head of an HTTP message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A client of the gateway.
+/// A client connection to the gateway.
 pub struct ClientPeer(TcpStream);
 
 impl ClientPeer {
@@ -24,7 +24,7 @@
         read(&mut self.0, until)
     }
 
-    /// Whether the gateway has sent something or closed the connection.
+    /// Returns whether the gateway has sent bytes that are still unread, or has closed the connection.
     pub fn has_answer(&self) -> bool {
         peek(&self.0).is_ok()
     }
@@ -32,12 +32,14 @@
 
 /// A storage node or discovery.
 pub struct NodePeer {
-    /// None once it is dead.
+    /// `None` after [`terminate`](Self::terminate).
     listener: Option<TcpListener>,
-    /// While the backlog is full: the connection that fills it. The system then drops whatever else comes, so
-    /// that a connection attempt succeeds only when it is repeated, a second later.
+    /// The connection that fills the listener's backlog; `None` while the backlog is not filled. While the
+    /// backlog is full, the operating system drops other connection attempts. Such an attempt succeeds only
+    /// when the system repeats it a second later.
     backlog_filler: Option<TcpStream>,
-    /// The current connection is the last; earlier ones stay open, as those of a silent machine would.
+    /// All open connections; the last one is the current one. Earlier connections stay open, like those of a
+    /// machine that has stopped responding.
     connections: Vec<TcpStream>,
 }
 
@@ -72,7 +74,7 @@
         drop(self.connections.pop());
     }
 
-    pub fn die(&mut self) {
+    pub fn terminate(&mut self) {
         self.listener = None;
         self.connections.clear();
     }
@@ -87,7 +89,8 @@
         self.listener().accept().unwrap();
     }
 
-    /// Whether a connection to the node is being established, by the system's table of connections.
+    /// Returns whether a connection to the node is being established, according to the operating system's
+    /// table of TCP connections.
     pub fn is_being_connected_to(&self) -> bool {
         const REMOTE_ADDRESS: usize = 2;
         const STATE: usize = 3;
@@ -100,9 +103,9 @@
         })
     }
 
-    /// Accepts a connection if one has come, and makes the last connection with something to read the current
-    /// one. Whether there is one.
-    pub fn has_bytes(&mut self) -> bool {
+    /// Accepts a pending connection, if any, and makes the last readable connection the current one. Returns
+    /// whether there is a readable connection.
+    pub fn poll_for_bytes(&mut self) -> bool {
         if let Some(Ok((connection, _))) = self.listener.as_ref().map(|listener| listener.accept()) {
             connection.set_nonblocking(false).unwrap();
             self.connections.push(connection);
@@ -115,8 +118,8 @@
     }
 }
 
-/// How many bytes of at most one can be read at once: none from a closed connection, an error if it would
-/// wait.
+/// Peeks at the next byte without blocking. Returns 1 if a byte is available, 0 if the peer has closed the
+/// connection, and an error if no byte is available yet.
 fn peek(stream: &TcpStream) -> std::io::Result<usize> {
     stream.set_nonblocking(true).unwrap();
     let peeked = stream.peek(&mut [0]);
@@ -124,7 +127,8 @@
     peeked
 }
 
-/// Reads a head, a message or all there is; a connection that breaks ends it as well.
+/// Reads a head, a message, or all bytes until the connection is closed. A connection that is closed or reset
+/// before or within the head ends the read early.
 pub fn read(stream: &mut TcpStream, until: ReadUntil) -> Vec<u8> {
     stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let (mut bytes, mut byte) = (Vec::new(), [0]);
--- a/tests/exchange_player/script.rs
+++ b/tests/exchange_player/script.rs
@@ -1,61 +1,63 @@
-//! The parser of scripts.
+//! Parses test scripts.
 //!
-//! A script is a comment followed by steps. A step is a head, `== ` and the words of the table, and the lines
-//! below it, its content. In contents `{n1}`, `{n2}` and `{discovery}` stand for the addresses of the nodes
-//! and of discovery, `{upload}` for the identifier of the last upload, and `{len}` in the head of a message
-//! for the length of its body. `node N` means a storage node or discovery.
+//! A script is a comment followed by steps. A step is a line with `== ` and a command from the table below,
+//! followed by the step's content: the lines up to the next command. The content of a message or a file may
+//! contain placeholders: `{n1}`, `{n2}` and `{discovery}` are the addresses of the two storage nodes and of
+//! discovery, `{upload}` is the first upload identifier that a client has received, and `{len}` in the head
+//! of a message is the length of the body. In a command, `N` names a storage node or discovery, and `C` names
+//! a client.
 //!
-//! | head | what happens |
+//! | command | effect |
 //! | --- | --- |
-//! | `client C sends` | the client sends the content as a message; it connects first if it has not yet |
-//! | `client C adds` | it sends the content as it stands, without the end of a head |
-//! | `client C adds chunk` | it sends the content as a chunk of a body; an empty chunk ends the body |
-//! | `client C gets` | it reads a message |
-//! | `client C gets head` | it reads the head of a message |
-//! | `client C gets all` | it reads until the gateway closes the connection |
-//! | `client C leaves` | it disconnects |
+//! | `client C sends` | the client connects if necessary and sends the content as an HTTP message |
+//! | `client C adds` | the client connects if necessary and sends the content unchanged |
+//! | `client C adds chunk` | the client sends the content as a chunk of a body; an empty chunk ends it |
+//! | `client C gets` | the client reads a message |
+//! | `client C gets head` | the client reads the head of a message |
+//! | `client C gets all` | the client reads until the gateway closes the connection |
+//! | `client C leaves` | the client disconnects |
 //! | `clients COUNT are silent` | clients `silent-0`, `silent-1` and so on connect and send nothing |
 //! | `node N gets` | the node reads a message |
-//! | `node N sends` | it sends the content as a message |
-//! | `node N adds` | it sends the content as it stands |
-//! | `node N closes` | it closes its connection |
-//! | `node N dies` | it closes all connections and listens no longer |
-//! | `node N is left` | the gateway closes its connection, with nothing more sent on it |
-//! | `node N has nothing` | the gateway has sent it nothing that is still unread |
-//! | `node N is full` | its backlog is filled: new connections are not established |
-//! | `node N comes up` | its backlog is freed: new connections are established again |
-//! | `node N is tried` | the gateway is connecting to it |
-//! | `node N is tried or C answered` | the gateway is connecting to it, or has answered client C |
-//! | `node N is reached` | the gateway is connected to it |
-//! | `node is told at most MS` | the last `Req-Deadline` sent to a node leaves it at most MS milliseconds |
-//! | `file NAME` | the content is written to a file of the configuration |
-//! | `file NAME names TO for FROM` | in the file, the address TO replaces the first FROM |
-//! | `wait MS` | nothing for MS milliseconds |
-//! | `log` | a line of the gateway's log is read |
-//! | `signal NAME` | the gateway is sent the signal |
-//! | `program exits` | the gateway exits; its exit status and the rest of its log are read |
+//! | `node N sends` | the node sends the content as an HTTP message |
+//! | `node N adds` | the node sends the content unchanged |
+//! | `node N closes` | the node closes its current connection |
+//! | `node N dies` | the node closes all connections and its listening socket |
+//! | `node N is left` | checks that the gateway closes the current connection without sending more |
+//! | `node N has nothing` | checks that the node has no unread bytes from the gateway |
+//! | `node N is full` | fills the node's backlog: new connections are not established |
+//! | `node N comes up` | frees the node's backlog: new connections are established again |
+//! | `node N is tried` | waits until the gateway is connecting to the node |
+//! | `node N is tried or C answered` | waits until the gateway connects to the node or answers C |
+//! | `node N is reached` | waits until a new connection from the gateway is established |
+//! | `node is told at most MS` | checks that the last `Req-Deadline` sent to a node is at most MS ms |
+//! | `file NAME` | writes the content to a file of the configuration |
+//! | `file NAME names TO for FROM` | replaces the first occurrence of the address FROM in the file with TO |
+//! | `wait MS` | pauses the script for MS milliseconds |
+//! | `log` | reads a line of the gateway's log |
+//! | `signal NAME` | sends the gateway the signal |
+//! | `program exits` | waits until the gateway exits, and reads its exit status and the rest of its log |
 
 use std::time::Duration;
 
-/// Begins the head of each step.
-const STEP_MARK: &str = "\n== ";
+/// Start of a command line; separates the steps of a script.
+const STEP_DELIMITER: &str = "\n== ";
 
-/// A step as it stands in a script.
+/// A parsed step of a script.
 pub struct ScriptStep {
-    /// The head, as it is repeated in the transcript.
-    pub head: String,
-    pub step: Step,
-    /// What stands below the head.
+    /// The command without the leading `== `; the transcript repeats it.
+    pub command: String,
+    pub action: Action,
+    /// The lines between this command and the next, without trailing line breaks.
     pub content: String,
 }
 
-/// What a step does.
-pub enum Step {
+/// The action of a step. The command table in the module documentation describes each action.
+pub enum Action {
     Client {
         name: String,
         action: ClientAction,
     },
-    /// Clients connect and send nothing.
+    /// Opens this number of client connections, which then send nothing.
     ConnectSilentClients {
         count: usize,
     },
@@ -63,15 +65,15 @@
         name: String,
         action: NodeAction,
     },
-    /// Checks the time that the request read last leaves the node.
-    CheckTimeLeft {
+    /// Checks the `Req-Deadline` of the last request that had one: the time that remained for the node.
+    CheckDeadline {
         at_most: Duration,
     },
     /// Writes the content to a file of the configuration.
     WriteFile {
         name: String,
     },
-    /// Puts one address in the place of another.
+    /// Replaces the first occurrence of the address `from` in a file of the configuration with `to`.
     ReplaceAddress {
         file: String,
         from: String,
@@ -79,7 +81,7 @@
     },
     Wait(Duration),
     ReadLogLine,
-    /// Sends the gateway a signal.
+    /// Sends the gateway a signal, named without `SIG`.
     Signal {
         name: String,
     },
@@ -87,47 +89,47 @@
     AwaitExit,
 }
 
-/// What a client does.
+/// The action of a client.
 pub enum ClientAction {
-    /// Sends a message: a head, and a body after an empty line.
+    /// Sends an HTTP message; in the content, an empty line separates the head from the body.
     SendMessage,
-    /// Sends bytes as they stand, without the end of a head.
+    /// Sends the content unchanged, without an empty line that would end a head.
     SendBytes,
-    /// Sends a chunk of a body; an empty one is its end.
+    /// Sends the content as a chunk of a body; an empty chunk ends the body.
     SendChunk,
     Read(ReadUntil),
     Disconnect,
 }
 
-/// What a storage node or discovery does.
+/// The action of a storage node or of discovery.
 pub enum NodeAction {
     ReadMessage,
-    /// Sends a message: a head, and a body after an empty line.
+    /// Sends an HTTP message; in the content, an empty line separates the head from the body.
     SendMessage,
-    /// Sends bytes as they stand.
+    /// Sends the content unchanged.
     SendBytes,
     CloseConnection,
-    /// Closes all connections and listens no longer.
-    Die,
-    /// Checks that the gateway closes the connection.
+    /// Closes all connections and the listening socket.
+    Terminate,
+    /// Checks that the gateway closes the current connection without sending more bytes on it.
     ExpectClosed,
-    /// Checks that no bytes have come.
+    /// Checks that no connection has unread bytes.
     ExpectNothing,
     /// Fills the backlog, so that new connections are not established.
     FillBacklog,
-    /// Lets new connections be established again.
+    /// Frees the backlog, so that new connections are established again.
     FreeBacklog,
-    /// Waits until the gateway tries to connect.
-    AwaitConnecting,
-    /// Waits until the gateway tries to connect or answers the client.
-    AwaitConnectingOrAnswer {
+    /// Waits until the gateway is connecting to the node.
+    AwaitConnectionAttempt,
+    /// Waits until the gateway is connecting to the node or has answered the client.
+    AwaitConnectionAttemptOrAnswer {
         client: String,
     },
-    /// Waits until a connection is established.
+    /// Waits until a new connection is established.
     AwaitConnection,
 }
 
-/// How far a connection is read.
+/// Where reading from a connection ends.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ReadUntil {
     HeadEnd,
@@ -135,36 +137,36 @@
     Closed,
 }
 
-/// The steps of a script; what stands above the first is a comment.
+/// Parses the steps of a script. The text above the first step is a comment and is ignored.
 pub fn parse(text: &str) -> Vec<ScriptStep> {
-    text.split(STEP_MARK).skip(1).map(parse_step).collect()
+    text.split(STEP_DELIMITER).skip(1).map(parse_step).collect()
 }
 
 fn parse_step(text: &str) -> ScriptStep {
-    let (head, content) = text.split_once('\n').unwrap_or((text, ""));
-    let words: Vec<&str> = head.split(' ').collect();
-    let step = parse_head(&words).unwrap_or_else(|| panic!("unknown step {head:?}"));
-    ScriptStep { head: head.into(), step, content: content.trim_end_matches('\n').into() }
+    let (command, content) = text.split_once('\n').unwrap_or((text, ""));
+    let words: Vec<&str> = command.split(' ').collect();
+    let action = parse_command(&words).unwrap_or_else(|| panic!("unknown command {command:?}"));
+    ScriptStep { command: command.into(), action, content: content.trim_end_matches('\n').into() }
 }
 
-fn parse_head(words: &[&str]) -> Option<Step> {
+fn parse_command(words: &[&str]) -> Option<Action> {
     Some(match *words {
         ["client", name, ref action @ ..] => {
-            Step::Client { name: name.into(), action: parse_client_action(action)? }
+            Action::Client { name: name.into(), action: parse_client_action(action)? }
         }
-        ["clients", count, "are", "silent"] => Step::ConnectSilentClients { count: count.parse().ok()? },
-        ["node", "is", "told", "at", "most", time] => Step::CheckTimeLeft { at_most: milliseconds(time)? },
+        ["clients", count, "are", "silent"] => Action::ConnectSilentClients { count: count.parse().ok()? },
+        ["node", "is", "told", "at", "most", time] => Action::CheckDeadline { at_most: parse_ms(time)? },
         ["node", name, ref action @ ..] => {
-            Step::Node { name: name.into(), action: parse_node_action(action)? }
+            Action::Node { name: name.into(), action: parse_node_action(action)? }
         }
-        ["file", name] => Step::WriteFile { name: name.into() },
+        ["file", name] => Action::WriteFile { name: name.into() },
         ["file", file, "names", to, "for", from] => {
-            Step::ReplaceAddress { file: file.into(), from: from.into(), to: to.into() }
+            Action::ReplaceAddress { file: file.into(), from: from.into(), to: to.into() }
         }
-        ["wait", time] => Step::Wait(milliseconds(time)?),
-        ["log"] => Step::ReadLogLine,
-        ["signal", name] => Step::Signal { name: name.into() },
-        ["program", "exits"] => Step::AwaitExit,
+        ["wait", time] => Action::Wait(parse_ms(time)?),
+        ["log"] => Action::ReadLogLine,
+        ["signal", name] => Action::Signal { name: name.into() },
+        ["program", "exits"] => Action::AwaitExit,
         _ => return None,
     })
 }
@@ -188,20 +190,20 @@
         ["sends"] => NodeAction::SendMessage,
         ["adds"] => NodeAction::SendBytes,
         ["closes"] => NodeAction::CloseConnection,
-        ["dies"] => NodeAction::Die,
+        ["dies"] => NodeAction::Terminate,
         ["is", "left"] => NodeAction::ExpectClosed,
         ["has", "nothing"] => NodeAction::ExpectNothing,
         ["is", "full"] => NodeAction::FillBacklog,
         ["comes", "up"] => NodeAction::FreeBacklog,
-        ["is", "tried"] => NodeAction::AwaitConnecting,
+        ["is", "tried"] => NodeAction::AwaitConnectionAttempt,
         ["is", "tried", "or", client, "answered"] => {
-            NodeAction::AwaitConnectingOrAnswer { client: client.into() }
+            NodeAction::AwaitConnectionAttemptOrAnswer { client: client.into() }
         }
         ["is", "reached"] => NodeAction::AwaitConnection,
         _ => return None,
     })
 }
 
-fn milliseconds(word: &str) -> Option<Duration> {
+fn parse_ms(word: &str) -> Option<Duration> {
     word.parse().ok().map(Duration::from_millis)
 }
--- a/tests/exchange_player/transcript.rs
+++ b/tests/exchange_player/transcript.rs
@@ -1,21 +1,22 @@
-//! The transcript of an exchange, in which values that differ from run to run are masked.
+//! Records the transcript of an exchange, and masks the values in it that differ between runs.
 
 use std::time::Duration;
 
-/// Headers whose values differ from run to run: equal values get equal names in the transcript.
-const NAMED_HEADERS: [&str; 3] = ["idempotency-key", "req-id", "x-amz-request-id"];
-/// Headers whose values are left out.
+/// Headers whose values differ between runs. The transcript replaces each distinct value with its own
+/// placeholder, so that equal values stay recognizable.
+const PLACEHOLDER_HEADERS: [&str; 3] = ["idempotency-key", "req-id", "x-amz-request-id"];
+/// Headers whose values the transcript replaces with `~`.
 const MASKED_HEADERS: [&str; 2] = ["date", DEADLINE_HEADER];
-/// The time that a node has for a request, such as `12000u` for 12,000 microseconds.
+/// Header with the time that a node has left for a request, such as `12000u` for 12,000 microseconds.
 const DEADLINE_HEADER: &str = "req-deadline";
 
-/// A name in braces and the value that it stands for.
+/// A name in braces, such as `{n1}`, and the value that it represents.
 struct Placeholder {
     name: String,
     value: String,
 }
 
-/// The values that differ from run to run: addresses, identifiers and keys.
+/// Placeholders for the values that differ between runs: addresses, identifiers and keys.
 #[derive(Default)]
 pub struct Placeholders(Vec<Placeholder>);
 
@@ -24,47 +25,47 @@
         self.0.push(Placeholder { name, value });
     }
 
-    /// Puts values in the place of names.
+    /// Replaces the names of the placeholders with their values.
     pub fn fill_in(&self, text: &str) -> String {
         let replace =
             |text: String, placeholder: &Placeholder| text.replace(&placeholder.name, &placeholder.value);
         self.0.iter().fold(text.to_string(), replace)
     }
 
-    /// Puts names in the place of values.
+    /// Replaces the values of the placeholders with their names.
     fn mask(&self, text: String) -> String {
         let replace =
             |text: String, placeholder: &Placeholder| text.replace(&placeholder.value, &placeholder.name);
         self.0.iter().fold(text, replace)
     }
 
-    /// The bytes of a message whose head and body are parted by an empty line; `{len}` in the head is the
-    /// length of the body.
-    pub fn message(&self, content: &str) -> Vec<u8> {
+    /// Encodes a message for the wire. In the content, an empty line separates the head from the body, and
+    /// `{len}` in the head is replaced with the length of the body in bytes.
+    pub fn encode_message(&self, content: &str) -> Vec<u8> {
         let (head, body) = content.split_once("\n\n").unwrap_or((content, ""));
         let body = self.fill_in(body);
         let head = self.fill_in(&head.replace("{len}", &body.len().to_string()));
         format!("{}\r\n\r\n{body}", head.replace('\n', "\r\n")).into_bytes()
     }
 
-    /// Gives a value the next name, if it has none.
-    fn name_value(&mut self, value: &str) {
+    /// Adds a numbered placeholder for the value unless the value has one.
+    fn ensure_placeholder(&mut self, value: &str) {
         if !self.0.iter().any(|placeholder| placeholder.value == value) {
             self.add(format!("{{value {}}}", self.0.len()), value.into());
         }
     }
 }
 
-/// What came back in the steps so far.
+/// The commands of the steps run so far, and the messages and log lines that they read.
 pub struct Transcript {
     pub placeholders: Placeholders,
     text: String,
-    time_left: Option<Duration>,
+    remaining_time: Option<Duration>,
 }
 
 impl Transcript {
     pub fn new(placeholders: Placeholders) -> Self {
-        Transcript { placeholders, text: String::new(), time_left: None }
+        Transcript { placeholders, text: String::new(), remaining_time: None }
     }
 
     pub fn text(&self) -> &str {
@@ -75,20 +76,21 @@
         self.text
     }
 
-    /// The time that the last request with a deadline leaves its node.
-    pub fn time_left(&self) -> Option<Duration> {
-        self.time_left
+    /// Returns the time that remained for the node at the last recorded request with a `Req-Deadline`, or
+    /// `None` if there was no such request or its deadline is invalid.
+    pub fn remaining_time(&self) -> Option<Duration> {
+        self.remaining_time
     }
 
-    pub fn start_step(&mut self, head: &str) {
-        self.text.push_str(&format!("== {head}\n"));
+    pub fn start_step(&mut self, command: &str) {
+        self.text.push_str(&format!("== {command}\n"));
     }
 
     pub fn push_unmasked(&mut self, text: &str) {
         self.text.push_str(text);
     }
 
-    /// Records a message or a log line.
+    /// Records a message or a log line, with its varying values masked.
     pub fn record(&mut self, bytes: &[u8]) {
         let received = String::from_utf8_lossy(bytes).replace("\r\n", "\n");
         let mut text = received.clone();
@@ -96,12 +98,12 @@
             let Some((name, value)) = line.split_once(": ") else { continue };
             let name = name.to_lowercase();
             if name == DEADLINE_HEADER {
-                self.time_left = parse_deadline(value);
+                self.remaining_time = parse_deadline(value);
             }
             if MASKED_HEADERS.contains(&name.as_str()) {
                 text = text.replace(line, &format!("{name}: ~"));
-            } else if NAMED_HEADERS.contains(&name.as_str()) {
-                self.placeholders.name_value(value);
+            } else if PLACEHOLDER_HEADERS.contains(&name.as_str()) {
+                self.placeholders.ensure_placeholder(value);
             }
         }
         let text = self.placeholders.mask(text);
@@ -109,8 +111,9 @@
         self.text.push_str("\n\n");
     }
 
-    /// Remembers the identifier of an upload that a response names.
-    pub fn note_upload_id(&mut self, response: &[u8]) {
+    /// Adds the placeholder `{upload}` for the upload identifier in the response, if any. If several are
+    /// added, scripts use the first one.
+    pub fn capture_upload_id(&mut self, response: &[u8]) {
         let response = String::from_utf8_lossy(response);
         let id = response.split_once("<UploadId>").and_then(|(_, rest)| rest.split_once('<'));
         if let Some((id, _)) = id {
