--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -1,6 +1,8 @@
-//! An example storage node for trying the object API: it keeps objects and uploads in memory, and loses them
-//! when it ends. Start it with the address to listen on, such as `storage-node 127.0.0.1:9001`; it prints
-//! each request that it serves.
+//! An example storage node for trying out the object API. It stores objects and uploads in memory only, so
+//! they are lost when the process exits.
+//!
+//! Pass the address to listen on as the argument, such as `storage-node 127.0.0.1:9001`. The node prints the
+//! method and the URI of each valid request.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -16,14 +18,14 @@
 use storage_gateway::protocol::object::{self, ApiError, ByteRange, ListedPart, Operation, PartsList};
 use storage_gateway::transport::{ConnectionLimits, LifecyclePhase, ResponseBody, full_body, serve};
 
-/// The address to listen on if none is given.
+/// The address to listen on if no argument is given.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:9001";
-/// Enough connections for a few gateways.
+/// Connection limits that suffice for a few gateways.
 const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits { max_served: 100, max_rejected: 10 };
 
 type NodeResponse = Result<Response<ResponseBody>, ApiError>;
 
-/// An object, or a part of an upload.
+/// A stored object, or a stored part of an upload.
 #[derive(Clone)]
 struct StoredObject {
     bytes: Bytes,
@@ -38,7 +40,8 @@
         StoredObject { bytes, content_type, etag: format!("\"{:016x}\"", hasher.finish()) }
     }
 
-    /// The positions of the first and the last byte of a range, if the object has any byte of it.
+    /// Returns the positions of the first and last byte of the range within the object, or `None` if the
+    /// object contains no byte of the range.
     fn resolve(&self, range: &ByteRange) -> Option<RangeInclusive<usize>> {
         let size = self.bytes.len() as u64;
         let end = size.checked_sub(1)?;
@@ -51,7 +54,7 @@
     }
 }
 
-/// What a write results in; a repetition with the same idempotency key gets it again.
+/// The result of a write. The node stores it and returns it again for a retry with the same idempotency key.
 #[derive(Clone)]
 struct WriteResult {
     status: StatusCode,
@@ -77,18 +80,19 @@
     }
 }
 
-/// The parts of an upload by their numbers.
+/// The parts of an upload, by part number.
 type Parts = BTreeMap<u32, StoredObject>;
 
-/// All that the node keeps.
+/// The state of the node.
 #[derive(Default)]
 struct Store {
-    /// By path.
+    /// Objects by request path.
     objects: BTreeMap<String, StoredObject>,
-    /// By upload id.
+    /// Parts of the uploads in progress, by upload id.
     uploads: BTreeMap<String, Parts>,
+    /// Number of uploads initiated so far; the upload ids are derived from it.
     uploads_initiated: u64,
-    /// By idempotency key.
+    /// Results of successful writes, by idempotency key.
     results: BTreeMap<String, WriteResult>,
 }
 
@@ -132,7 +136,7 @@
         Ok(response(StatusCode::OK, object::encode_parts_list(listing, "", "", upload_id)))
     }
 
-    /// Carries out a write, or returns the result of the earlier one with this idempotency key.
+    /// Performs a write, or returns the result of an earlier write with the same idempotency key.
     fn write_once(
         &mut self,
         idempotency_key: &str,
@@ -174,7 +178,7 @@
                 self.uploads.remove(&upload_id).ok_or_else(ApiError::no_such_upload)?;
                 Ok(WriteResult::removed())
             }
-            Operation::Read { .. } | Operation::ListParts { .. } => unreachable!("reads change nothing"),
+            Operation::Read { .. } | Operation::ListParts { .. } => unreachable!("not a write"),
         }
     }
 
@@ -192,7 +196,7 @@
         WriteResult { status: StatusCode::OK, body, etag: None }
     }
 
-    /// Assembles an object from the parts that the body lists.
+    /// Assembles an object from the parts that the body lists, and ends the upload.
     fn complete_upload(&mut self, path: &str, upload_id: &str, body: &[u8]) -> Result<WriteResult, ApiError> {
         let parts = self.uploads.get(upload_id).ok_or_else(ApiError::no_such_upload)?;
         let mut bytes = Vec::new();
@@ -223,7 +227,7 @@
     error
 }
 
-/// Empty if the request has none.
+/// Returns the idempotency key of the request, or an empty string if the request has none.
 fn idempotency_key(headers: &HeaderMap) -> &str {
     headers.get("idempotency-key").and_then(|key| key.to_str().ok()).unwrap_or("")
 }
@@ -251,7 +255,7 @@
 async fn main() -> std::io::Result<()> {
     let address = std::env::args().nth(1).unwrap_or(DEFAULT_ADDRESS.into());
     let listener = tokio::net::TcpListener::bind(&address).await?;
-    println!("storage node on {}", listener.local_addr()?);
+    println!("storage node listening on {}", listener.local_addr()?);
     let store = Rc::new(RefCell::new(Store::default()));
     let (_serving, phase) = tokio::sync::watch::channel(LifecyclePhase::Serving);
     let service = move |request: Request<Incoming>, _| {
--- a/tests/endpoint_polling.rs
+++ b/tests/endpoint_polling.rs
@@ -1,20 +1,20 @@
-//! How the gateways of a fleet poll discovery for the endpoint list.
+//! Tests how the gateways of a fleet spread and retry their polls of the endpoint list.
 
 mod common;
 use common::*;
 use storage_gateway::scheduler::*;
 
-/// Gateways with nothing to do but to poll; every poll fails at once.
+/// Idle gateways that only poll the endpoint list. Every poll fails immediately.
 struct PollingFleet {
     gateways: Vec<Scheduler>,
-    /// When each gateway's timer is due.
+    /// The time at which each gateway is next woken.
     wake_at_us: Vec<u64>,
-    /// When each gateway polled.
+    /// The times of the polls of each gateway.
     polls_at_us: Vec<Vec<u64>>,
 }
 
 impl PollingFleet {
-    /// Gateways that start together.
+    /// Starts all gateways at [`SIMULATION_START_US`].
     fn start(settings: &SchedulerSettings) -> Self {
         let fleet = SimulatedFleet::new(settings.clone());
         let count = settings.gateway_count;
@@ -45,14 +45,14 @@
                     deliver(&mut self.gateways[gateway], now_us, &[poll_failed()]);
                 }
                 Action::SetTimer { after_us, .. } => self.wake_at_us[gateway] = now_us + after_us,
-                other => panic!("nothing else is expected of a gateway: {other:?}"),
+                other => panic!("unexpected action of an idle gateway: {other:?}"),
             }
         }
         self.wake_at_us[gateway] = self.wake_at_us[gateway].max(now_us + TICK);
     }
 
-    /// The largest number of polls in one second.
-    fn busiest_second(&self) -> usize {
+    /// Returns the maximum number of polls of all gateways in one second.
+    fn max_polls_per_second(&self) -> usize {
         let second_of = |at_us: &u64| (at_us - SIMULATION_START_US) / SECOND;
         let mut seconds: Vec<u64> = self.polls_at_us.iter().flatten().map(second_of).collect();
         seconds.sort_unstable();
@@ -60,28 +60,31 @@
     }
 }
 
-/// Gateways that start together, and whose polls fail together, poll one by one: in no second do more of them
-/// poll than one such service answers, and none goes without a poll for longer than the rules allow.
+/// Gateways that start at the same time, and whose polls all fail, spread their polls over time. In any
+/// second, they send no more polls than one discovery service can answer: at most 30 polls from 100 gateways.
+/// Each gateway sends its first poll within the maximum poll interval, and the times between its polls are
+/// shorter than four of these intervals.
 #[test]
 fn a_fleet_spreads_its_polls_of_the_endpoint_list() {
     let gateways = 100;
     let settings = SchedulerSettings { gateway_count: gateways, endpoints_on_request: true, ..settings() };
     let mut fleet = PollingFleet::start(&settings);
     fleet.run_until(SIMULATION_START_US + 30 * SECOND);
-    let max_polls = fleet.busiest_second();
+    let max_polls = fleet.max_polls_per_second();
     assert!(max_polls <= 30, "{max_polls} polls of {gateways} gateways in one second");
     for polls in &fleet.polls_at_us {
         assert!(
             polls[0] < SIMULATION_START_US + settings.max_poll_interval_us,
-            "the first poll comes after {} us",
+            "the first poll is sent after {} us",
             polls[0] - SIMULATION_START_US
         );
         assert!(polls.windows(2).all(|pair| pair[1] - pair[0] < 4 * settings.max_poll_interval_us));
-        assert!(polls.len() > 1, "polled again");
+        assert!(polls.len() > 1, "a failed poll must be retried");
     }
 }
 
-/// When one gateway of a fleet of this size polls, if every poll fails.
+/// Returns the times of the first `polls` polls of one gateway in a fleet of `gateway_count` gateways, if
+/// every poll fails.
 fn failed_polls_at_us(gateway_count: usize, gateway_index: usize, polls: usize) -> Vec<u64> {
     let settings = SchedulerSettings { gateway_count, endpoints_on_request: true, ..settings() };
     let mut now_us = SIMULATION_START_US;
@@ -98,11 +101,11 @@
     polls_at_us
 }
 
-/// Whatever the number of gateways and of failures, a failed poll is retried so soon that the retry, which
-/// takes 1.5 s at most, can bring a change before the gateway counts as notified of it: 6 s after discovery
-/// can be reached.
+/// For fleets of any size, and after any number of failures, a failed poll is retried within 4.5 s. The
+/// platform considers a gateway notified of a change 6 s after discovery is reachable. A poll takes at most
+/// 1.5 s, so the retry can return the change before then.
 #[test]
-fn failed_polls_are_retried_before_the_changes_they_missed_are_in_force() {
+fn failed_polls_are_retried_before_missed_changes_count_as_announced() {
     let fleets = [4, 30, 300].into_iter();
     for (gateways, gateway) in fleets.flat_map(|count| [0, count / 2, count - 1].map(|index| (count, index)))
     {
@@ -110,7 +113,7 @@
         let longest_us = polls_at_us.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap();
         assert!(
             longest_us <= 4_500_000 + TICK,
-            "gateway {gateway} of {gateways} polls after {longest_us} us"
+            "gateway {gateway} of {gateways} polls again only after {longest_us} us"
         );
     }
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,5 +1,6 @@
-//! The gateway against recorded exchanges: its clients, storage nodes and discovery are played from the
-//! scripts in `tests/exchanges/`, and what the gateway sends is compared with `tests/snapshots/`.
+//! Tests the gateway process with scripted exchanges. Each script in `tests/exchanges/` defines the messages
+//! of the clients, the storage nodes and discovery. The test compares the gateway's messages with a snapshot
+//! in `tests/snapshots/`.
 
 mod exchange_player;
 
@@ -62,30 +63,33 @@
     tight_memory
 }
 
-/// What is wrong with a configuration: one piece of text in the place of another.
-struct Mistake {
-    correct: &'static str,
-    wrong: &'static str,
+/// An edit that makes the valid configuration invalid.
+struct InvalidEdit {
+    /// Text that the valid configuration contains.
+    original: &'static str,
+    /// Text that replaces the first occurrence of the original.
+    invalid: &'static str,
 }
 
-const MISTAKES: [Mistake; 10] = [
-    Mistake { correct: "[gateway]", wrong: "[gateway" },
-    Mistake { correct: "body_most = 1000", wrong: "body_least = 1000" },
-    Mistake { correct: "memory = 1000000", wrong: "memory = 1000" },
-    Mistake { correct: "aim_ms = 5000", wrong: "aim_ms = 50000" },
-    Mistake { correct: "rate = 40", wrong: "rate = -1" },
-    Mistake { correct: "plan = \"standard\"", wrong: "plan = \"novel\"" },
-    Mistake { correct: "name = \"other\"", wrong: "name = \"uni\"" },
-    Mistake { correct: "\"secret\"", wrong: "\"nowhere\"" },
-    Mistake { correct: "inventory.csv", wrong: "bad.csv" },
-    Mistake { correct: "[admin]\nlisten = \"127.0.0.1:0\"", wrong: "[admin]\nlisten = \"0.0.0.0:0\"" },
+const INVALID_EDITS: [InvalidEdit; 10] = [
+    InvalidEdit { original: "[gateway]", invalid: "[gateway" },
+    InvalidEdit { original: "body_most = 1000", invalid: "body_least = 1000" },
+    InvalidEdit { original: "memory = 1000000", invalid: "memory = 1000" },
+    InvalidEdit { original: "aim_ms = 5000", invalid: "aim_ms = 50000" },
+    InvalidEdit { original: "rate = 40", invalid: "rate = -1" },
+    InvalidEdit { original: "plan = \"standard\"", invalid: "plan = \"novel\"" },
+    InvalidEdit { original: "name = \"other\"", invalid: "name = \"uni\"" },
+    InvalidEdit { original: "\"secret\"", invalid: "\"nowhere\"" },
+    InvalidEdit { original: "inventory.csv", invalid: "bad.csv" },
+    InvalidEdit { original: "[admin]\nlisten = \"127.0.0.1:0\"", invalid: "[admin]\nlisten = \"0.0.0.0:0\"" },
 ];
 
 fn object_configuration(file: &str) -> String {
     std::fs::read_to_string(format!("tests/exchanges/object/{file}")).unwrap()
 }
 
-/// A folder with what the configuration refers to, and an inventory with a bad address.
+/// Creates a folder with the files that the configuration refers to and with `bad.csv`, an inventory that
+/// contains an invalid address.
 fn configuration_folder() -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("bad");
     std::fs::create_dir_all(&folder).unwrap();
@@ -96,23 +100,23 @@
     folder
 }
 
-/// The gateway reports an invalid configuration in one line, exits with a status of its own, and serves
-/// nothing.
+/// Given an invalid configuration, the gateway reports the error in one line and exits with status 2 instead
+/// of serving.
 #[test]
 fn invalid_configurations_are_reported_in_one_line() {
     let folder = configuration_folder();
     let valid = object_configuration("config.toml");
     let mut reports = String::new();
-    for Mistake { correct, wrong } in MISTAKES {
-        assert!(valid.contains(correct), "{correct}");
+    for InvalidEdit { original, invalid } in INVALID_EDITS {
+        assert!(valid.contains(original), "{original}");
         let path = folder.join("config.toml");
-        std::fs::write(&path, valid.replacen(correct, wrong, 1)).unwrap();
+        std::fs::write(&path, valid.replacen(original, invalid, 1)).unwrap();
         let mut gateway = Command::new(env!("CARGO_BIN_EXE_storage-gateway"));
         let output = gateway.arg("--config").arg(path).output().unwrap();
-        assert_eq!(output.status.code(), Some(2), "{wrong}");
+        assert_eq!(output.status.code(), Some(2), "{invalid}");
         let report = String::from_utf8(output.stderr).unwrap().replace(folder.to_str().unwrap(), "FOLDER");
         assert_eq!(report.lines().count(), 1, "{report}");
-        reports.push_str(&format!("{wrong:?}\n    {report}"));
+        reports.push_str(&format!("{invalid:?}\n    {report}"));
     }
     insta::assert_snapshot!(reports);
 }
--- a/tests/request_router.rs
+++ b/tests/request_router.rs
@@ -1,5 +1,5 @@
-//! The request router without sockets: a transport that only records the attempts that it is given, and a
-//! clock that stands still until something waits for it.
+//! Tests the request router without sockets. The transport only records the attempts that the router starts,
+//! and the paused clock advances only when every task is waiting for a timer.
 
 mod common;
 
@@ -25,7 +25,7 @@
     fn watch_endpoints(&mut self) {}
 }
 
-/// A router that knows one node of shard 1, and what it works with.
+/// A router whose endpoint list contains one node, which serves shard 1, with the parts that tests inspect.
 struct RouterFixture {
     router: RouterHandle<&'static str, u32>,
     attempts: Attempts,
@@ -44,13 +44,13 @@
         RouterFixture { router, attempts, clock, metrics }
     }
 
-    /// Submits a request that expires after 900 ms.
+    /// Submits a request that expires 900 ms from now.
     fn submit(&self, class: usize, shard: u32) -> PendingAnswer<&'static str, u32> {
         let expires_at_us = self.clock.now_us() + 900_000;
         self.router.submit(incoming_request(0, class, shard, expires_at_us), "payload")
     }
 
-    /// Waits for the next attempt.
+    /// Waits until an attempt has been started, and removes it from the recorded attempts.
     async fn next_attempt(&self) -> Attempt<&'static str> {
         loop {
             if let Some(attempt) = self.attempts.borrow_mut().pop() {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Runs a test on a runtime whose clock is paused.
+/// Runs a test with a new router on a runtime whose clock is paused.
 fn with_router<Test: Future<Output = ()>>(test: impl FnOnce(RouterFixture) -> Test) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.unwrap(), async { test(RouterFixture::start()).await });
@@ -94,19 +94,19 @@
         let pending = fixture.submit(0, 1);
         let attempt = fixture.next_attempt().await;
         drop(pending);
-        assert!(attempt.cancelled.await.is_err(), "dropped, not sent");
+        assert!(attempt.cancelled.await.is_err(), "the sender must be dropped without a value");
         assert_eq!(fixture.metrics.abandoned.get(), 1);
     });
 }
 
 #[test]
-fn unanswered_requests_fail_before_the_client_gives_up() {
+fn unanswered_requests_fail_before_they_expire() {
     with_router(|fixture| async move {
         let expires_at_us = fixture.clock.now_us() + 900_000;
         let pending = fixture.submit(2, 1);
         let attempt = fixture.next_attempt().await;
         assert!(attempt.deadline <= fixture.clock.instant_at(expires_at_us));
-        assert!(matches!(pending.await, FinalAnswer::Failed), "it may have run and must not again");
+        assert!(matches!(pending.await, FinalAnswer::Failed), "must not be retried after possible execution");
         assert!(fixture.clock.now_us() <= expires_at_us);
     });
 }
@@ -118,12 +118,12 @@
         let answer = fixture.submit(0, 9).await;
         assert!(matches!(answer, FinalAnswer::Rejected { retry_after_us: Some(1..) }));
         let waited_us = fixture.clock.now_us() - submitted_at_us;
-        assert!(waited_us < 100_000, "delayed for {waited_us} us");
+        assert!(waited_us < 100_000, "rejected only after {waited_us} us");
     });
 }
 
 #[test]
-fn a_started_response_belongs_to_the_client_and_outlives_the_deadline() {
+fn a_started_response_is_never_retried_and_may_outlast_the_deadline() {
     with_router(|fixture| async move {
         let pending = fixture.submit(0, 1);
         let attempt = fixture.next_attempt().await;
@@ -133,7 +133,7 @@
         let reset = AttemptResult::without_response(AttemptOutcome::ConnectionReset);
         fixture.router.attempt_ended(attempt.request, attempt.index, reset);
         tokio::time::sleep(Duration::from_millis(10)).await;
-        assert!(fixture.attempts.borrow().is_empty(), "no attempt may follow a response that has started");
+        assert!(fixture.attempts.borrow().is_empty(), "retried after its response had started");
         assert_eq!((fixture.metrics.served.get(), fixture.metrics.failed.get()), (1, 0));
     });
 }
