--- a/tests/exchange_player/peers.rs
+++ b/tests/exchange_player/peers.rs
@@ -119,7 +119,7 @@
 }
 
 /// Peeks at the next byte without blocking. Returns 1 if a byte is available, 0 if the peer has closed the
-/// connection, and an error if no byte is available yet.
+/// connection, and an error otherwise, in particular if no byte has arrived yet.
 fn peek(stream: &TcpStream) -> std::io::Result<usize> {
     stream.set_nonblocking(true).unwrap();
     let peeked = stream.peek(&mut [0]);
@@ -127,8 +127,8 @@
     peeked
 }
 
-/// Reads a head, a message, or all bytes until the connection is closed. A connection that is closed or reset
-/// before or within the head ends the read early.
+/// Reads a head, a message, or all bytes until the connection is closed. If the connection is closed or reset
+/// before the end of the head, returns the bytes received so far.
 pub fn read(stream: &mut TcpStream, until: ReadUntil) -> Vec<u8> {
     stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     let (mut bytes, mut byte) = (Vec::new(), [0]);
--- a/tests/exchange_player/script.rs
+++ b/tests/exchange_player/script.rs
@@ -93,7 +93,7 @@
 pub enum ClientAction {
     /// Sends an HTTP message; in the content, an empty line separates the head from the body.
     SendMessage,
-    /// Sends the content unchanged, without an empty line that would end a head.
+    /// Sends the content unchanged, without adding the empty line that ends a head.
     SendBytes,
     /// Sends the content as a chunk of a body; an empty chunk ends the body.
     SendChunk,
--- a/tests/request_router.rs
+++ b/tests/request_router.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_started_response_is_never_retried_and_may_outlast_the_deadline() {
+fn requests_with_a_started_response_neither_expire_nor_retry() {
     with_router(|fixture| async move {
         let pending = fixture.submit(0, 1);
         let attempt = fixture.next_attempt().await;
