--- a/src/gateway/descriptors.rs
+++ b/src/gateway/descriptors.rs
@@ -1,22 +1,24 @@
-//! The division of a gateway's file descriptors among clients and storage nodes.
+//! Divides the gateway's file descriptors between client connections and connections to storage nodes.
 
 use crate::transport::{ConnectionLimits, PoolLimits};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// Descriptors that stay free for the listener, discovery, and what the runtime needs.
+/// Number of descriptors reserved for the listeners, the connection to discovery and the async runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// The fewest descriptors that are divided, however low the limit is set.
+/// Minimum number of descriptors to divide, even if the configured limit is lower.
 const MIN_DIVIDED_DESCRIPTORS: usize = 16;
-/// Two fifths of the descriptors are for connections to storage nodes. Clients rarely use more than a third.
-/// With only a quarter for nodes, a busy gateway ran out, and a request whose attempt finds no descriptor
-/// cannot be served.
+/// Fraction of the descriptors that is used for connections to storage nodes. Clients rarely use more than a
+/// third of the descriptors. With only a quarter for nodes, a busy gateway ran out of them, and a request
+/// cannot be served if there is no descriptor for its attempt.
 const NODE_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
-/// A tenth is for connections of clients that are rejected: they hold one only for as long as that takes.
+/// Fraction of the descriptors that is used for client connections whose requests are rejected because of
+/// overload. It can be small because such a connection is open only until the rejection has been sent.
 const REJECTED_CLIENT_FRACTION: Fraction = Fraction { numerator: 1, denominator: 10 };
-/// Idle connections to storage nodes are closed after three fifths of the time for which the node keeps them,
-/// well before the node closes them: a request written to a closed connection is lost.
+/// Time after which the gateway closes an idle connection to a storage node, as a fraction of the time after
+/// which the node itself closes it. The margin is large because a request that is written to a connection is
+/// lost if the node has already closed it.
 const IDLE_TIMEOUT_FRACTION: Fraction = Fraction { numerator: 3, denominator: 5 };
 
 #[derive(Clone, Copy)]
@@ -26,7 +28,7 @@
 }
 
 impl Fraction {
-    /// This fraction of a count, rounded down.
+    /// Returns this fraction of `count`, rounded down.
     fn of(self, count: usize) -> usize {
         count * self.numerator as usize / self.denominator as usize
     }
@@ -36,32 +38,36 @@
     }
 }
 
-/// How long connections to storage nodes may take and stay.
+/// Timeouts of connections to storage nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeConnectionTimeouts {
-    /// A connection that is not established by then has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect: Duration,
-    /// How long storage nodes keep an idle connection.
+    /// Time after which a storage node closes an idle connection.
     pub node_idle: Duration,
 }
 
-/// The limits on each side of a gateway.
+/// Connection limits for clients and for storage nodes.
 pub struct ConnectionBudget {
-    /// Connections from clients.
+    /// Limits for connections from clients.
     pub clients: ConnectionLimits,
-    /// Connections to storage nodes.
+    /// Limits and timeouts for connections to storage nodes.
     pub nodes: PoolLimits,
 }
 
-/// Divides the descriptors that a gateway may hold among clients and storage nodes.
+/// Divides `descriptors`, the maximum number of open file descriptors of the gateway, between client
+/// connections and connections to storage nodes.
 pub fn divide_descriptors(descriptors: usize, timeouts: NodeConnectionTimeouts) -> ConnectionBudget {
     let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DIVIDED_DESCRIPTORS);
-    let for_nodes = NODE_FRACTION.of(available);
+    let max_node_connections = NODE_FRACTION.of(available);
     let max_rejected = REJECTED_CLIENT_FRACTION.of(available);
     ConnectionBudget {
-        clients: ConnectionLimits { max_served: available - for_nodes - max_rejected, max_rejected },
+        clients: ConnectionLimits {
+            max_served: available - max_node_connections - max_rejected,
+            max_rejected,
+        },
         nodes: PoolLimits {
-            permits: Arc::new(Semaphore::new(for_nodes)),
+            permits: Arc::new(Semaphore::new(max_node_connections)),
             connect_timeout: timeouts.connect,
             idle_timeout: IDLE_TIMEOUT_FRACTION.of_duration(timeouts.node_idle),
         },
--- a/src/gateway/error.rs
+++ b/src/gateway/error.rs
@@ -1,50 +1,50 @@
-//! The errors with which a gateway ends.
+//! Errors that prevent the gateway from starting or make it exit.
 
 use super::config::ConfigError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the gateway did not start, or broke down.
+/// Reasons why the gateway did not start, or exited with a failure.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The configuration is valid, but the gateway could not run.
+    /// The configuration is valid, but the gateway could not start or did not keep running.
     #[error(transparent)]
     Run(#[from] RunError),
 }
 
-/// Why a gateway with a valid configuration could not run.
+/// Reasons why a gateway with a valid configuration could not start or did not keep running.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The asynchronous runtime could not be built.
-    #[error("runtime: {source}")]
+    #[error("cannot build the asynchronous runtime: {source}")]
     Runtime {
-        /// The system's error.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// A signal handler could not be installed.
-    #[error("signals: {source}")]
+    #[error("cannot install a signal handler: {source}")]
     SignalHandler {
-        /// The system's error.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// A listener could not be bound.
-    #[error("listening on {address}: {source}")]
+    /// A listener could not be bound to its address.
+    #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The configured address.
+        /// The address from the configuration file.
         address: SocketAddr,
-        /// The system's error.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The address of a bound listener is unknown.
-    #[error("listening: {source}")]
+    /// The local address of a bound listener could not be determined.
+    #[error("cannot determine the local address of a listener: {source}")]
     LocalAddress {
-        /// The system's error.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// An actor that runs for as long as the gateway has ended.
-    #[error("an actor has stopped")]
+    /// An actor ended although the gateway was still running.
+    #[error("an actor ended while the gateway was running")]
     ActorStopped,
 }
--- a/src/gateway/hashing.rs
+++ b/src/gateway/hashing.rs
@@ -1,11 +1,12 @@
-//! The hash from which object placement, volume and block numbers, and idempotency keys are derived.
+//! The hash function for object placement, volume and block numbers, and idempotency keys.
 
 use sha2::{Digest, Sha256};
 
-/// The length of a SHA-256 hash, in bytes.
+/// Length of a SHA-256 hash, in bytes.
 pub const HASH_LEN: usize = 32;
 
-/// Hashes fields, each with its length before it: neighbouring fields cannot be confused.
+/// Returns the SHA-256 hash of a sequence of fields. Each field is preceded by its length, so that sequences
+/// with different boundaries between fields have different inputs to the hash.
 pub fn hash_fields<T: AsRef<[u8]>>(fields: &[T]) -> [u8; HASH_LEN] {
     let mut hash = Sha256::new();
     for field in fields {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,16 +1,19 @@
-//! The program: configuration, signals, metrics, and the wiring of the actors.
+//! The gateway process: configuration, signals, metrics, and the startup and wiring of the actors.
 //!
-//! There are two kinds of gateway. One speaks the platform's protocol, is configured by the platform and
-//! polls discovery for storage nodes; the other serves the object API and an administration API, is
-//! configured by an operator's file and reads storage nodes from an inventory. Both start in `startup` and
-//! share the rest.
+//! There are two kinds of gateway:
+//! - The platform gateway serves the platform's protocol. The platform provides its configuration, and it
+//!   polls discovery for storage nodes.
+//! - The object gateway serves the object API and an administration API. An operator's file configures it,
+//!   and it reads the storage nodes from an inventory.
 //!
-//! | subject | modules |
+//! `startup` starts either kind. The modules below that are not specific to one kind are shared.
+//!
+//! | area | modules |
 //! | --- | --- |
-//! | started first | `config`, `startup`, `error`, `log` |
+//! | startup | `config`, `startup`, `error`, `log` |
 //! | lifecycle | `signals`, `shutdown`, `reload` |
 //! | front ends | `frontend` (shared), `platform_frontend`, `object_frontend`, `admin_frontend` |
-//! | object API | `tenants`, `object_limits`, and `hashing` for the placement of objects |
+//! | object API | `tenants`, `object_limits`, and `hashing` for object placement |
 //! | storage nodes | `discovery` or `inventory`, then `node_registry`, `node_transport`, `descriptors` |
 //! | metrics | `metrics` |
 
@@ -42,23 +45,23 @@
 use config::platform::PlatformConfig;
 use std::path::Path;
 
-/// Serves the platform's protocol, as configured by the file that `GW_CONFIG` names, until SIGTERM or SIGINT.
+/// Runs a platform gateway until it has shut down after SIGTERM or SIGINT. The environment variable
+/// `GW_CONFIG` contains the path of the configuration file.
 ///
 /// # Errors
 ///
-/// Returns an error if the configuration is missing or invalid, or the gateway cannot run.
+/// Returns an error if the configuration is missing or invalid, or if the gateway cannot run.
 pub fn run_platform_gateway() -> Result<(), GatewayError> {
     let config = PlatformConfig::load()?;
     startup::run(|context| startup::platform_gateway::start(config, context))?;
     Ok(())
 }
 
-/// Serves the object API and the administration API, as configured by an operator's file, until SIGTERM or
-/// SIGINT.
+/// Runs an object gateway, configured by the operator's file, until it has shut down after SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Returns an error if the configuration is missing or invalid, or the gateway cannot run.
+/// Returns an error if the configuration is missing or invalid, or if the gateway cannot run.
 pub fn run_object_gateway(config_file: &Path) -> Result<(), GatewayError> {
     let config = ObjectGatewayConfig::load(config_file)?;
     startup::run(|context| startup::object_gateway::start(config, context))?;
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,7 +1,9 @@
-//! Reloads on SIGHUP. A file that cannot be read changes nothing: what was in effect before stays.
+//! Reloads the discovery address or the inventory on SIGHUP. If the file cannot be read or is invalid, the
+//! previous configuration or inventory stays in effect.
 //!
-//! The platform moves discovery this way, and counts a gateway that ends on SIGHUP as crashed (Terms of
-//! service page, "New configurations and restarts").
+//! When discovery moves to another address, the platform writes a new configuration and sends SIGHUP. It
+//! counts a gateway that exits on SIGHUP as crashed (Terms of service page, "New configurations and
+//! restarts").
 
 use super::config::platform::PlatformConfig;
 use super::inventory::InventoryCommand;
@@ -12,8 +14,8 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Reads the platform's configuration on each SIGHUP and moves to the discovery address in it. All else in
-/// the file keeps the value it had at the start.
+/// Reads the platform's configuration file on each SIGHUP and publishes its discovery address. Changes to all
+/// other settings in the file are ignored.
 pub async fn reload_discovery_address(
     mut hangup: Signal,
     discovery_address: watch::Sender<SocketAddr>,
@@ -40,7 +42,8 @@
     }
 }
 
-/// Reads the inventory on each SIGHUP, as the administration's reload does.
+/// Reloads the inventory on each SIGHUP, like the reload operation of the administration API. Returns once
+/// the inventory actor has ended.
 pub async fn reload_inventory(
     mut hangup: Signal,
     inventory: mpsc::UnboundedSender<InventoryCommand>,
@@ -48,7 +51,7 @@
 ) {
     while hangup.recv().await.is_some() {
         let (reply, result) = oneshot::channel();
-        // The inventory's actor lives as long as the gateway.
+        // Fails only if the inventory actor has ended; the reply is an error in that case.
         let _ = inventory.send(InventoryCommand::Reload(reply));
         match result.await {
             Ok(Ok(node_count)) => {
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -1,18 +1,18 @@
-//! The phases of a graceful shutdown and their times.
+//! The schedule of a graceful shutdown: its phases and how long each of them lasts.
 //!
-//! Counted from SIGTERM or SIGINT:
+//! A shutdown starts at SIGTERM or SIGINT and has these steps:
 //!
-//! | from | phase | what changes |
+//! | starts | phase | effect |
 //! | --- | --- | --- |
-//! | the signal | `Terminating` | health checks say not ready; connections are still accepted |
-//! | [`ACCEPT_PERIOD`] | `Draining` | no connection is accepted; connected clients are served |
-//! | the service period | `FinalResponses` | each response closes its connection |
-//! | [`FINAL_RESPONSES_PERIOD`] later | `ClosingIdle` | idle connections are closed |
-//! | [`CLOSING_IDLE_PERIOD`] later | | every request has its final answer |
+//! | at the signal | `Terminating` | readiness checks fail; new connections are still accepted |
+//! | [`ACCEPT_PERIOD`] after the signal | `Draining` | no new connections; open ones are still served |
+//! | the service period after the signal | `FinalResponses` | each response closes its connection |
+//! | [`FINAL_RESPONSES_PERIOD`] later | `ClosingIdle` | idle connections are closed as well |
+//! | [`CLOSING_IDLE_PERIOD`] later | | all requests have been answered |
 //!
-//! For the platform's gateway the service period lasts as close to SIGKILL as the later phases allow. Clients
-//! keep using their open connections; closing those early would leave them without a gateway, and would not
-//! make the restart any sooner.
+//! The service period of a platform gateway ends as late as possible: only the later phases and a safety
+//! margin remain before SIGKILL. Clients keep using their open connections. Closing these connections earlier
+//! would leave the clients without a gateway and would not make the restart any faster.
 
 use crate::transport::LifecyclePhase;
 use std::cell::Cell;
@@ -20,47 +20,49 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long after the signal new connections are accepted. By the Protocol page ("Figures") they arrive for
-/// up to 0.4 s after SIGTERM, and only requests of its first 0.7 s have all of their time before SIGKILL.
+/// Time after the signal during which new connections are accepted. According to the Protocol page
+/// ("Figures"), new connections arrive for up to 0.4 s after SIGTERM, and only requests from the first 0.7 s
+/// after SIGTERM have their full deadline before SIGKILL.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
-/// How long responses close their connections before idle connections are closed as well.
+/// Duration of the `FinalResponses` phase, after which idle connections are closed.
 const FINAL_RESPONSES_PERIOD: Duration = Duration::from_millis(300);
-/// How long after idle connections are closed every request has its final answer.
+/// Time from the start of the `ClosingIdle` phase until all requests must have been answered.
 const CLOSING_IDLE_PERIOD: Duration = Duration::from_millis(300);
-/// SIGKILL comes no sooner than the longest deadline, counted as this where it is longer, and
-/// [`ACCEPT_PERIOD`] after SIGTERM (Protocol page, "Figures").
+/// Maximum value at which a request deadline counts toward the time of SIGKILL. The platform sends SIGKILL
+/// no sooner than the longest deadline, capped at this value, plus [`ACCEPT_PERIOD`] after SIGTERM (Protocol
+/// page, "Figures").
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// How long before the earliest SIGKILL every request has its final answer.
+/// Safety margin between the time by which all requests must have been answered and the earliest SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(200);
 
-/// How long clients are served once the gateway has been told to stop.
+/// The times of the shutdown phases.
 pub struct ShutdownSchedule {
-    /// How long after the signal connected clients are served.
+    /// Time after the signal during which open connections are served without being closed.
     service_period: Cell<Duration>,
-    /// By when every request is to be answered; none until the gateway is told to stop.
+    /// Time by which all requests must be answered; `None` until the shutdown starts.
     answer_by: Cell<Option<Instant>>,
 }
 
 impl ShutdownSchedule {
-    /// A schedule that serves connected clients for as long as connections are accepted.
+    /// Returns a schedule whose service period is [`ACCEPT_PERIOD`]: the `Draining` phase has no duration.
     pub fn new() -> Self {
         ShutdownSchedule { service_period: Cell::new(ACCEPT_PERIOD), answer_by: Cell::new(None) }
     }
 
-    /// By when every request is to be answered; none until the gateway is told to stop.
+    /// Returns the time by which all requests must be answered, or `None` if the shutdown has not started.
     pub fn answer_by(&self) -> Option<Instant> {
         self.answer_by.get()
     }
 
-    /// Extends the service period towards the SIGKILL of the platform, which depends on the longest deadline
-    /// of a request.
+    /// Extends the service period so that all requests are answered [`SIGKILL_MARGIN`] before the earliest
+    /// SIGKILL of the platform, which depends on the longest deadline of any request class.
     pub fn extend_service_period(&self, longest_deadline: Duration) {
-        let earliest_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_PERIOD;
-        let ending = SIGKILL_MARGIN + CLOSING_IDLE_PERIOD + FINAL_RESPONSES_PERIOD;
-        self.service_period.set(earliest_kill.saturating_sub(ending).max(ACCEPT_PERIOD));
+        let earliest_sigkill = longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_PERIOD;
+        let time_after_service = SIGKILL_MARGIN + CLOSING_IDLE_PERIOD + FINAL_RESPONSES_PERIOD;
+        self.service_period.set(earliest_sigkill.saturating_sub(time_after_service).max(ACCEPT_PERIOD));
     }
 
-    /// Starts the shutdown and advances the phase until idle connections are closed.
+    /// Starts the shutdown and advances `phase` up to [`LifecyclePhase::ClosingIdle`].
     pub async fn run(&self, phase: &watch::Sender<LifecyclePhase>) {
         let service_period = self.service_period.get();
         let answer_by = Instant::now() + service_period + FINAL_RESPONSES_PERIOD + CLOSING_IDLE_PERIOD;
--- a/src/gateway/signals.rs
+++ b/src/gateway/signals.rs
@@ -1,6 +1,9 @@
-//! The signals that the gateway handles: SIGTERM and SIGINT shut it down, SIGUSR1 logs the metrics, and
-//! SIGHUP reloads the discovery address (platform gateway) or the inventory (object gateway): see
-//! [`reload`](super::reload).
+//! Handles Unix signals.
+//!
+//! - SIGTERM and SIGINT start a graceful shutdown.
+//! - SIGUSR1 writes all metrics to the log.
+//! - SIGHUP reloads the discovery address (platform gateway) or the inventory (object gateway); see
+//!   [`reload`](super::reload).
 
 use super::error::RunError;
 use super::metrics::GatewayMetrics;
@@ -10,7 +13,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-/// Handles SIGTERM, SIGINT and SIGUSR1.
+/// The installed handlers for SIGTERM, SIGINT and SIGUSR1.
 pub struct SignalHandlers {
     terminate: Signal,
     interrupt: Signal,
@@ -18,11 +21,11 @@
 }
 
 impl SignalHandlers {
-    /// Installs the handlers. Signals that come before [`run`](Self::run) are handled there.
+    /// Installs the handlers. Signals that arrive before [`run`](Self::run) are handled once it runs.
     ///
     /// # Errors
     ///
-    /// Returns an error if the system does not install a handler.
+    /// Returns an error if a handler cannot be installed.
     pub fn install() -> Result<Self, RunError> {
         Ok(SignalHandlers {
             terminate: install_handler(SignalKind::terminate())?,
@@ -31,7 +34,8 @@
         })
     }
 
-    /// Shuts the gateway down on the first SIGTERM or SIGINT, and logs the metrics on each SIGUSR1 meanwhile.
+    /// Starts the shutdown on the first SIGTERM or SIGINT, and logs the metrics on each SIGUSR1. Further
+    /// SIGTERM and SIGINT signals have no effect.
     pub async fn run(
         mut self,
         phase: watch::Sender<LifecyclePhase>,
@@ -45,20 +49,20 @@
             }
             shutdown.run(&phase).await;
         };
-        let on_log_request = async {
+        let on_log_metrics = async {
             while self.log_metrics.recv().await.is_some() {
                 metrics.log();
             }
         };
-        tokio::join!(on_terminate, on_log_request);
+        tokio::join!(on_terminate, on_log_metrics);
     }
 }
 
-/// The stream of SIGHUP signals.
+/// Installs the handler for SIGHUP and returns the stream of these signals.
 ///
 /// # Errors
 ///
-/// Returns an error if the system does not install the handler.
+/// Returns an error if the handler cannot be installed.
 pub fn hangup_signal() -> Result<Signal, RunError> {
     install_handler(SignalKind::hangup())
 }
