--- a/src/gateway/config/mod.rs
+++ b/src/gateway/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration files, and what can be wrong with them.
+//! Reads and validates the configuration files of both kinds of gateway.
 
 pub mod object;
 pub mod platform;
@@ -6,34 +6,34 @@
 use object::ObjectConfigError;
 use platform::PlatformConfigError;
 
-/// Why a configuration was not accepted.
+/// Reasons why a configuration cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Nothing says where the platform's configuration is.
+    /// The environment variable `GW_CONFIG`, which names the platform's configuration file, is not set.
     #[error("no configuration: GW_CONFIG is not set")]
     PathNotSet,
-    /// The file cannot be read.
+    /// The configuration file cannot be read.
     #[error("configuration {path}: {source}")]
     Unreadable {
-        /// The file's path.
+        /// Path of the configuration file.
         path: String,
-        /// The system's error.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// The platform's configuration is invalid.
+    /// The content of the platform's configuration file is invalid.
     #[error("configuration {path}: {source}")]
     InvalidPlatformConfig {
-        /// The file's path.
+        /// Path of the configuration file.
         path: String,
-        /// What is wrong.
+        /// The fault in the configuration.
         source: PlatformConfigError,
     },
-    /// The operator's configuration is invalid.
+    /// The content of the operator's configuration file, or of a file that it references, is invalid.
     #[error("configuration {path}: {source}")]
     InvalidObjectConfig {
-        /// The file's path.
+        /// Path of the configuration file.
         path: String,
-        /// What is wrong.
+        /// The fault in the configuration.
         source: ObjectConfigError,
     },
 }
--- a/src/gateway/config/object/error.rs
+++ b/src/gateway/config/object/error.rs
@@ -1,60 +1,61 @@
-//! What can be wrong with an operator's file.
+//! Errors in the operator's configuration file.
 
 use crate::gateway::inventory::InventoryReadError;
 use crate::gateway::tenants::TenantError;
 use crate::protocol::object::UploadKey;
 use std::io;
 
-/// What is wrong with an operator's file. Messages name sections and keys as the file has them.
+/// Faults in the operator's configuration file, or in a file that it references. Messages use the names of
+/// the sections and keys in the file.
 #[derive(Debug, thiserror::Error)]
 pub enum ObjectConfigError {
-    /// The file is not TOML of the expected form.
+    /// The file is not TOML, or has missing, unknown or malformed keys.
     #[error("line {line}: {message}")]
     Toml {
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The parser's message, in one line.
+        /// Message of the TOML parser, with line breaks replaced by spaces.
         message: String,
     },
-    /// The administration API would be reachable from other machines.
+    /// The administration API would be reachable from other machines: its address is not a loopback address.
     #[error("admin.listen must be a loopback address")]
     AdminNotLoopback,
-    /// The hash of the administration's token is malformed.
+    /// The hash of the administration API's token is malformed.
     #[error("admin.token_sha256 must be 64 hex digits")]
     InvalidAdminTokenHash,
-    /// A limit or time of `[object]` is zero.
-    #[error("the figures of [object] must be above 0")]
+    /// A limit or timeout in the section `[object]` is zero.
+    #[error("the limits and timeouts in [object] must be above 0")]
     ZeroObjectLimit,
-    /// A body that could never get its memory would be rejected for ever.
+    /// The memory for bodies is too small for the longest allowed body, which would always be rejected.
     #[error("object.memory is too small for one body")]
     BodyMemoryTooSmall,
-    /// The times of a class are out of order or out of range.
+    /// The latency objective of a class is zero or not below the deadline, or the deadline is above one hour.
     #[error("a class needs 0 < aim_ms < deadline_ms <= 3600000")]
     InvalidClassTimes,
-    /// The priority weight of a class is negative or not a number.
-    #[error("a class's worth must be 0 or above")]
+    /// The priority weight of a class is negative or not finite.
+    #[error("the worth of a class must be a finite number, 0 or above")]
     InvalidClassWeight,
-    /// A rate or factor of a plan is negative or not a number.
+    /// A rate, weight or factor of a plan is negative or not finite.
     #[error("a plan's figures must be 0 or above")]
     InvalidPlan,
-    /// There is no plan, or this gateway's number is not among the gateways.
-    #[error("there must be a plan, and gateway.number below gateway.gateways")]
+    /// The file defines no plan, or this gateway's number is not below the number of gateways.
+    #[error("there must be at least one plan, and gateway.number must be below gateway.gateways")]
     NoPlanOrInvalidGatewayNumber,
-    /// The file with the upload secret cannot be read.
+    /// The file that contains the upload secret cannot be read.
     #[error("{path}: {source}")]
     UploadSecretUnreadable {
-        /// The file's path.
+        /// Path of the secret file.
         path: String,
-        /// The system's error.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The upload secret is too short to sign with.
-    #[error("the upload secret needs {} bytes or more", UploadKey::MIN_SECRET_LEN)]
+    /// The upload secret is shorter than [`UploadKey::MIN_SECRET_LEN`].
+    #[error("the upload secret must have at least {} bytes", UploadKey::MIN_SECRET_LEN)]
     UploadSecretTooShort,
-    /// The inventory cannot be read or is malformed.
+    /// The inventory file cannot be read or is invalid.
     #[error(transparent)]
     Inventory(#[from] InventoryReadError),
-    /// A tenant's definition is invalid.
+    /// The definition of a tenant is invalid, or the file contains two tenants with the same name.
     #[error(transparent)]
     Tenant(#[from] TenantError),
 }
--- a/src/gateway/config/object/file.rs
+++ b/src/gateway/config/object/file.rs
@@ -1,4 +1,6 @@
-//! The operator's file as it is written: its sections, keys and defaults.
+//! The structure of the operator's configuration file: its sections, keys and default values.
+//!
+//! Fields have the names that the gateway uses; serde attributes state the keys in the file.
 
 use crate::protocol::admin::TenantDefinition;
 use serde::Deserialize;
@@ -24,13 +26,13 @@
 #[serde(deny_unknown_fields)]
 pub struct GatewaySection {
     pub listen: SocketAddr,
-    /// How many gateways serve the tenants.
+    /// Number of gateways that serve the tenants.
     #[serde(default = "default_gateway_count", rename = "gateways")]
     pub count: usize,
-    /// Which of them this one is, from 0.
+    /// Number of this gateway among all gateways, from 0.
     #[serde(default, rename = "number")]
     pub index: usize,
-    /// File descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process.
     #[serde(default = "default_descriptors", rename = "sockets")]
     pub descriptors: usize,
 }
@@ -38,22 +40,26 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectSection {
-    /// The largest object or part in one request, in bytes.
+    /// Maximum size of a request body, which contains an object or a part, in bytes.
     #[serde(default = "default_max_body_len", rename = "body_most")]
     pub max_body_len: u64,
-    /// The longest response that is read completely before the client gets any of it, in bytes.
+    /// Maximum length of a response that is read completely before any of it is sent to the client, in bytes.
     #[serde(default = "default_response_buffer_len", rename = "buffer")]
     pub response_buffer_len: u64,
-    /// The memory for all bodies, in bytes.
+    /// Memory reserved for the bodies of all concurrent requests and responses, in bytes.
     #[serde(default = "default_body_memory", rename = "memory")]
     pub body_memory: u64,
+    /// Time without any received data after which a response has stalled.
     #[serde(default = "default_stall_timeout_ms", rename = "stall_ms")]
     pub stall_timeout_ms: u64,
+    /// Time after which a storage node closes an idle connection.
     #[serde(default = "default_node_idle_timeout_ms", rename = "node_idle_ms")]
     pub node_idle_timeout_ms: u64,
-    /// How many bytes the scheduler counts as one unit of work.
+    /// Number of bytes that the scheduler counts as one unit of work.
     #[serde(default = "default_unit_len", rename = "unit")]
     pub unit_len: u64,
+    /// Path of the file with the secret that signs upload ids, relative to the configuration file. All gateways
+    /// must have the same secret.
     pub upload_secret_file: PathBuf,
 }
 
@@ -61,12 +67,14 @@
 #[serde(deny_unknown_fields)]
 pub struct AdminSection {
     pub listen: SocketAddr,
+    /// SHA-256 of the administration API's bearer token, as 64 hex digits.
     pub token_sha256: String,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InventorySection {
+    /// Path of the inventory file, relative to the configuration file.
     pub file: PathBuf,
 }
 
@@ -85,12 +93,12 @@
     pub deadline_ms: u64,
     #[serde(default = "default_factor", rename = "worth")]
     pub priority_weight: f64,
-    /// For writes: how long the nodes of a rack recognize an idempotency key.
+    /// Time for which the nodes of a rack recognize an idempotency key. Used for writes only.
     #[serde(default, rename = "repeat_window_ms")]
     pub deduplication_window_ms: u64,
 }
 
-/// A service plan. Rates are units per second for one volume.
+/// A service plan. Rates are in units per second and apply to each volume.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanSection {
@@ -109,12 +117,12 @@
     1
 }
 
-/// A weight or factor that changes nothing.
+/// The neutral weight or factor.
 fn default_factor() -> f64 {
     1.0
 }
 
-/// The limit of the platform's scored days (Deployment page, "Limits").
+/// The platform's limit on scored days (Deployment page, "Limits").
 fn default_descriptors() -> usize {
     1024
 }
@@ -127,8 +135,8 @@
     256 << 10
 }
 
-/// A request body takes up to twice its size while it is put together; all of them must stay well within the
-/// 192 MB that a gateway may have (Deployment page, "Limits").
+/// A request body takes up to twice its size in memory while it is being assembled. All bodies together must
+/// stay well below the gateway's memory limit of 192 MB (Deployment page, "Limits").
 fn default_body_memory() -> u64 {
     48 << 20
 }
@@ -137,7 +145,7 @@
     1_000
 }
 
-/// As `connIdleUs` of the settings in the Wire page's example.
+/// The value of `connIdleUs` in the example settings on the Wire page.
 fn default_node_idle_timeout_ms() -> u64 {
     15_000
 }
--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -1,4 +1,5 @@
-//! The operator's file, which sets up the object API and the administration API.
+//! Reads and validates the operator's configuration file, which configures the object API and the
+//! administration API.
 
 mod error;
 mod file;
@@ -20,69 +21,69 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The longest deadline of a class, in milliseconds: one hour. The limit is the gateway's own.
+/// Maximum deadline of a class, in milliseconds: one hour. This limit is not from the platform's pages.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// The configuration of a gateway that serves the object API and the administration API.
+/// The configuration of an object gateway.
 pub struct ObjectGatewayConfig {
-    /// Where clients of the object API connect.
+    /// Address on which the object API listens.
     pub listen: SocketAddr,
-    /// Where the administration API listens.
+    /// Address on which the administration API listens; a loopback address.
     pub admin_listen: SocketAddr,
-    /// The hash of the administration's token.
+    /// Hash of the bearer token that the administration API requires.
     pub admin_token_hash: TokenHash,
-    /// File descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process.
     pub descriptors: usize,
-    /// The memory for all bodies, in bytes.
+    /// Memory reserved for the bodies of all concurrent requests and responses, in bytes.
     pub body_memory: u64,
-    /// How long storage nodes keep an idle connection.
+    /// Time after which a storage node closes an idle connection.
     pub node_idle_timeout: Duration,
-    /// The object front end's limits.
+    /// Limits of the object front end.
     pub limits: ObjectLimits,
-    /// The key that signs upload ids.
+    /// Key that signs upload ids; the same at all gateways.
     pub upload_key: UploadKey,
-    /// The storage nodes.
+    /// The inventory file and the storage nodes that it contained at startup.
     pub inventory: InventorySource,
-    /// The tenants.
+    /// The tenants that the file defines.
     pub tenants: TenantRegistry,
-    /// The scheduler's settings.
+    /// Settings of the scheduler.
     pub settings: SchedulerSettings,
 }
 
-/// An inventory file and what it contained at the start.
+/// An inventory file and its content at startup.
 pub struct InventorySource {
-    /// The file's path.
+    /// Path of the inventory file, which is read again on each reload.
     pub file: PathBuf,
-    /// The storage nodes that it named.
+    /// The storage nodes in the file at startup.
     pub nodes: Vec<InventoryNode>,
 }
 
 impl ObjectGatewayConfig {
-    /// Reads the file, and the files that it names.
+    /// Reads the configuration file, and the secret file and the inventory file that it references.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file cannot be read, or it or a file that it names is invalid.
+    /// Returns an error if any of the files cannot be read or is invalid.
     pub fn load(path: &Path) -> Result<ObjectGatewayConfig, ConfigError> {
         let path_text = path.display().to_string();
         let text = match std::fs::read_to_string(path) {
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path: path_text, source }),
         };
-        let folder = path.parent().unwrap_or(Path::new("."));
-        ObjectGatewayConfig::decode(&text, folder)
+        let config_dir = path.parent().unwrap_or(Path::new("."));
+        ObjectGatewayConfig::decode(&text, config_dir)
             .map_err(|source| ConfigError::InvalidObjectConfig { path: path_text, source })
     }
 
-    fn decode(text: &str, folder: &Path) -> Result<ObjectGatewayConfig, ObjectConfigError> {
+    fn decode(text: &str, config_dir: &Path) -> Result<ObjectGatewayConfig, ObjectConfigError> {
         let file = parse(text)?;
         let admin_token_hash = parse_admin_token(&file.admin)?;
         validate_object(&file.object)?;
         validate_classes(&file.classes)?;
         validate_plans(&file.plans)?;
         validate_gateway(&file.gateway, &file.plans)?;
-        let upload_key = read_upload_key(&folder.join(&file.object.upload_secret_file))?;
-        let inventory = read_inventory(folder.join(&file.inventory.file))?;
+        let upload_key = read_upload_key(&config_dir.join(&file.object.upload_secret_file))?;
+        let inventory = read_inventory(config_dir.join(&file.inventory.file))?;
         let plan_names = file.plans.iter().map(|plan| plan.name.clone()).collect();
         Ok(ObjectGatewayConfig {
             listen: file.gateway.listen,
@@ -102,7 +103,7 @@
 
 fn parse(text: &str) -> Result<ObjectConfigFile, ObjectConfigError> {
     toml::from_str(text).map_err(|error| {
-        // One line: the place, without the excerpt that the parser draws.
+        // Errors are logged in one line, so the parser's excerpt of the file is omitted.
         let start = error.span().map_or(0, |span| span.start);
         ObjectConfigError::Toml {
             line: text[..start].matches('\n').count() + 1,
@@ -111,7 +112,7 @@
     })
 }
 
-/// Returns the hash of the administration's token.
+/// Returns the hash of the administration API's token. Checks that the API listens on a loopback address.
 fn parse_admin_token(admin: &AdminSection) -> Result<TokenHash, ObjectConfigError> {
     if !admin.listen.ip().is_loopback() {
         return Err(ObjectConfigError::AdminNotLoopback);
@@ -167,7 +168,7 @@
 }
 
 fn validate_gateway(gateway: &GatewaySection, plans: &[PlanSection]) -> Result<(), ObjectConfigError> {
-    // The number is below the count only if there is a gateway at all.
+    // The second condition also rejects a gateway count of 0.
     if plans.is_empty() || gateway.index >= gateway.count {
         return Err(ObjectConfigError::NoPlanOrInvalidGatewayNumber);
     }
--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -1,31 +1,37 @@
-//! The scheduler's settings for the object API. What the operator's file does not state is fixed here; the
-//! values that the platform would state follow the settings in the Wire page's example.
+//! Derives the scheduler's settings for the object API from the operator's file.
+//!
+//! Settings that the file does not contain have constant values. Settings that the platform would specify are
+//! taken from the example settings on the Wire page, unless stated otherwise.
 
 use super::file::{ClassSection, ObjectConfigFile, PlanSection};
 use crate::scheduler::{DeduplicationScope, Idempotency, RequestClass, SchedulerSettings, ServicePlan};
 
-/// The largest size of a request in units: 4 MiB at the default length of a unit. Larger bodies count as
-/// this. The limit is the gateway's own.
+/// Maximum size of a request in units: 4 MiB at the default unit size. Larger requests count as this many
+/// units. This limit is not from the platform's pages.
 pub const MAX_REQUEST_UNITS: u64 = 64;
-/// The mean size of a request in units, close to `usualUnits` of the Wire page's example (2.16).
+/// Mean size of a request in units, close to `usualUnits` in the Wire page's example (2.16).
 const MEAN_REQUEST_UNITS: f64 = 2.0;
-/// `resolutionUs` of the Wire page's example.
+/// Minimum time between two batches of events: `resolutionUs` in the Wire page's example.
 const BATCH_INTERVAL_US: u64 = 2_000;
-/// The most attempts for one request, as `maxAttempts` in `examples/platform.json`.
+/// Maximum number of attempts for one request: `maxAttempts` in `examples/platform.json`.
 const MAX_ATTEMPTS: u32 = 4;
-/// `connectTimeoutUs` of the Wire page's example.
+/// Time after which an attempt to connect to a node has failed: `connectTimeoutUs` in the Wire page's
+/// example.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
-/// The longest `Retry-After` that clients are expected to follow. The object API gives it in whole seconds.
-/// The value is the gateway's own.
+/// Maximum `Retry-After` that clients are expected to honor. The object API sends it in whole seconds. This
+/// value is not from the platform's pages.
 const MAX_RETRY_AFTER_US: u64 = 5_000_000;
-/// `graceToAnswerUs` of the Wire page's example.
+/// Time after the client's deadline during which a final answer is still accepted: `graceToAnswerUs` in the
+/// Wire page's example.
 const ANSWER_GRACE_US: u64 = 8_000;
-/// The smallest `lateValue` of the Wire page's example.
+/// Fraction of the priority weight that an answer past the latency objective earns: the smallest `lateValue`
+/// in the Wire page's example.
 const LATE_WEIGHT_FACTOR: f64 = 0.1;
-/// `withinShare` of the Wire page's example.
+/// Fraction of its priority weight that a unit beyond the reservation but within the fair share earns:
+/// `withinShare` in the Wire page's example.
 const FAIR_SHARE_WEIGHT_FACTOR: f64 = 0.35;
 
-/// The scheduler's settings that follow from a valid file.
+/// Returns the scheduler's settings for a file that has been validated.
 pub fn scheduler_settings(file: &ObjectConfigFile) -> SchedulerSettings {
     let write = &file.classes.write;
     let write_idempotency = Idempotency::WithKey {
@@ -33,7 +39,7 @@
         window_us: write.deduplication_window_ms * 1_000,
     };
     SchedulerSettings {
-        // In the order of `ObjectClass`.
+        // Ordered by the numbers of `ObjectClass`.
         classes: vec![
             request_class(&file.classes.read, Idempotency::Idempotent),
             request_class(write, write_idempotency),
@@ -47,10 +53,10 @@
         cancellation: true,
         max_retry_after_us: Some(MAX_RETRY_AFTER_US),
         answer_grace_us: ANSWER_GRACE_US,
-        // The inventory's actor pushes changes.
+        // The inventory actor pushes changes to the endpoint list.
         endpoints_on_request: false,
         max_poll_interval_us: 0,
-        // A node that an operator drains is sent nothing new.
+        // A node receives no new attempts once an operator drains it.
         drain_grace_us: 0,
         slow_start: None,
         retry_budget: None,
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file.
+//! Reads the platform's configuration file, which is JSON.
 
 use super::ConfigError;
 use crate::protocol::client_request::{NameTable, NamedClass};
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The descriptors that a gateway may hold if the platform does not state them: the limit of scored days
-/// (Deployment page, "Limits").
+/// Maximum number of open file descriptors if the configuration does not specify it: the platform's limit on
+/// scored days (Deployment page, "Limits").
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// How long storage nodes keep an idle connection if the settings do not state it: `connIdleUs` of the
-/// settings in the Wire page's example.
+/// Time after which a storage node closes an idle connection if the settings do not specify it: the value of
+/// `connIdleUs` in the example settings on the Wire page.
 const DEFAULT_NODE_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 #[derive(Deserialize)]
@@ -24,7 +24,7 @@
     seed: String,
     #[serde(default)]
     limits: LimitsSection,
-    /// Decoded on its own: it may be malformed without harm.
+    /// Decoded separately, because a malformed list must not invalidate the configuration.
     #[serde(borrow, rename = "known")]
     cached_list: Option<&'a RawValue>,
     settings: PlatformSettings,
@@ -43,48 +43,49 @@
     }
 }
 
-/// What is wrong with a platform's configuration.
+/// Faults in the platform's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformConfigError {
-    /// It is not JSON of the expected form.
+    /// The file is not JSON, or does not have the expected fields.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Without a request class or a service plan nothing can be served.
-    #[error("the settings name no class or no plan")]
+    /// The settings define no request class or no service plan, so that no request can be served.
+    #[error("the settings define no class or no plan")]
     NoClassOrPlan,
-    /// The seed is not a hexadecimal number of 64 bits.
-    #[error("the seed is not a hex number")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("the seed is not a hexadecimal number of at most 64 bits")]
     InvalidSeed,
 }
 
-/// The configuration of a gateway that speaks the platform's protocol.
+/// The configuration of a platform gateway.
 pub struct PlatformConfig {
-    /// Where clients connect.
+    /// Address on which the gateway accepts client connections.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of random numbers.
+    /// Seed of the scheduler's random number generator.
     pub seed: u64,
-    /// The file descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process; 1024 if the file does not specify it.
     pub descriptors: usize,
-    /// The endpoint list as this gateway last had it; may be old.
+    /// The endpoint list that this gateway had most recently, which may be out of date; `None` if the file
+    /// contains none or a malformed one.
     pub cached_list: Option<EndpointList>,
-    /// How requests name classes and plans.
+    /// Names by which requests refer to classes and plans.
     pub names: NameTable,
-    /// The names of the zones.
-    pub zones: Vec<String>,
-    /// How long storage nodes keep an idle connection.
+    /// Names of the zones, ordered by zone number.
+    pub zone_names: Vec<String>,
+    /// Time after which a storage node closes an idle connection; 15 s if the settings do not specify it.
     pub node_idle_timeout: Duration,
-    /// The scheduler's settings.
+    /// Settings of the scheduler.
     pub settings: SchedulerSettings,
 }
 
 impl PlatformConfig {
-    /// Reads the file that `GW_CONFIG` names.
+    /// Reads the configuration file at the path in the environment variable `GW_CONFIG`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the variable is not set, the file cannot be read, or its contents are invalid.
+    /// Returns an error if the variable is not set, the file cannot be read, or its content is invalid.
     pub fn load() -> Result<PlatformConfig, ConfigError> {
         let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::PathNotSet)?;
         let json = match std::fs::read(&path) {
@@ -108,14 +109,14 @@
             descriptors: file.limits.descriptors,
             cached_list: file.cached_list.and_then(decode_cached_list),
             names: name_table(&file.settings, &settings),
-            zones: file.settings.zone_names(),
+            zone_names: file.settings.zone_names(),
             node_idle_timeout: node_idle_timeout(&file.settings),
             settings,
         })
     }
 }
 
-/// A list that cannot be read is as good as none: discovery will send one.
+/// Returns `None` if the list is malformed. This is not an error, because discovery provides a current list.
 fn decode_cached_list(json: &RawValue) -> Option<EndpointList> {
     endpoint_list::decode(json.get().as_bytes()).ok()
 }
--- a/src/gateway/inventory/actor.rs
+++ b/src/gateway/inventory/actor.rs
@@ -1,4 +1,5 @@
-//! The actor that owns the inventory and the operator's drains, and publishes endpoints and their changes.
+//! The actor that owns the inventory and the set of nodes that operators drain. It publishes the resulting
+//! endpoints to the router.
 
 use super::file::{InventoryReadError, read};
 use super::racks::RackRegistry;
@@ -12,42 +13,42 @@
 use std::path::PathBuf;
 use tokio::sync::{mpsc, oneshot};
 
-/// A command to the inventory's actor.
+/// A command to the inventory actor. Each command contains the channel for its reply.
 pub enum InventoryCommand {
-    /// Read the file again; replies with the number of storage nodes that it names.
+    /// Read the inventory file again. The reply is the number of storage nodes in the file.
     Reload(oneshot::Sender<Result<usize, InventoryReadError>>),
-    /// Drain a storage node.
+    /// Drain a storage node at this gateway.
     DrainNode {
-        /// The node's name.
+        /// Name of the node.
         node: String,
-        /// Replies whether there is such a node.
+        /// The reply is whether the inventory contains the node.
         reply: oneshot::Sender<bool>,
     },
-    /// Return a storage node to the state that the file gives.
+    /// End the drain of a storage node, which returns to its state in the inventory file.
     ReturnNode {
-        /// The node's name.
+        /// Name of the node.
         node: String,
-        /// Replies whether there is such a node.
+        /// The reply is whether the inventory contains the node.
         reply: oneshot::Sender<bool>,
     },
-    /// List all storage nodes.
+    /// List all storage nodes, in the order of the inventory file.
     ListNodes(oneshot::Sender<Vec<NodeView>>),
 }
 
-/// The actor that owns the inventory and the operator's drains.
+/// The actor that owns the inventory and the set of nodes that operators drain.
 pub struct InventoryActor<P, R> {
     path: PathBuf,
     inventory: Vec<InventoryNode>,
-    /// The names of the nodes that the operator drains.
-    drained: BTreeSet<String>,
+    /// Names of the nodes that operators drain. All of them are in the inventory.
+    drained_nodes: BTreeSet<String>,
     racks: RackRegistry,
     nodes: NodeRegistry,
     router: RouterHandle<P, R>,
 }
 
 impl<P, R> InventoryActor<P, R> {
-    /// An actor for the inventory file at `path`, which names the storage nodes in `inventory`. It numbers
-    /// their racks in `racks`, and sends endpoint updates to `nodes` and `router`.
+    /// Creates an actor for the inventory file at `path`, whose content at startup is `inventory`. The actor
+    /// registers racks in `racks`, and sends endpoint updates to `nodes` and `router`.
     pub fn new(
         path: PathBuf,
         inventory: Vec<InventoryNode>,
@@ -55,10 +56,10 @@
         nodes: NodeRegistry,
         router: RouterHandle<P, R>,
     ) -> Self {
-        InventoryActor { path, inventory, drained: BTreeSet::new(), racks, nodes, router }
+        InventoryActor { path, inventory, drained_nodes: BTreeSet::new(), racks, nodes, router }
     }
 
-    /// Publishes the inventory, then handles commands until nobody can send any.
+    /// Publishes the inventory, then handles commands until all senders of `commands` are dropped.
     pub async fn run(mut self, mut commands: mpsc::UnboundedReceiver<InventoryCommand>) {
         self.publish();
         while let Some(command) = commands.recv().await {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Whoever sent a command may have left; then nobody takes the reply.
+    /// Handles a command. The reply is dropped if the sender of the command no longer waits for it.
     fn handle_command(&mut self, command: InventoryCommand) {
         match command {
             InventoryCommand::Reload(reply) => {
@@ -79,36 +80,38 @@
                 let _ = reply.send(self.return_node(&node));
             }
             InventoryCommand::ListNodes(reply) => {
-                let _ = reply.send(self.inventory.iter().map(|node| self.view(node)).collect());
+                let _ = reply.send(self.inventory.iter().map(|node| self.node_view(node)).collect());
             }
         }
     }
 
-    /// Reads the file again; a node that it no longer names is no longer drained either.
+    /// Reads the inventory file again and publishes its endpoints. Ends the drains of nodes that are no longer in
+    /// the file.
     fn reload(&mut self) -> Result<usize, InventoryReadError> {
         self.inventory = read(&self.path)?;
-        self.drained.retain(|name| contains_node(&self.inventory, name));
+        self.drained_nodes.retain(|name| contains_node(&self.inventory, name));
         self.publish();
         Ok(self.inventory.len())
     }
 
-    /// Starts draining a node; returns whether the inventory names it.
+    /// Drains a node; returns whether it is in the inventory.
     fn drain_node(&mut self, node: String) -> bool {
-        let known = contains_node(&self.inventory, &node);
-        if known {
-            self.drained.insert(node);
+        let in_inventory = contains_node(&self.inventory, &node);
+        if in_inventory {
+            self.drained_nodes.insert(node);
         }
         self.publish();
-        known
+        in_inventory
     }
 
-    /// Ends draining a node; returns whether the inventory names it.
+    /// Ends the drain of a node; returns whether the node is in the inventory.
     fn return_node(&mut self, node: &str) -> bool {
-        self.drained.remove(node);
+        self.drained_nodes.remove(node);
         self.publish();
         contains_node(&self.inventory, node)
     }
 
+    /// Publishes all endpoints as a snapshot, to the registry of nodes and to the router.
     fn publish(&self) {
         let records: Vec<_> = self.inventory.iter().map(|node| self.endpoint_record(node)).collect();
         let endpoints = self.nodes.apply(ListKind::Snapshot, &records);
@@ -126,14 +129,15 @@
         }
     }
 
+    /// Returns the state of a node, including the effect of an operator's drain.
     fn state(&self, node: &InventoryNode) -> EndpointState {
         match node.state {
-            EndpointState::Ready if self.drained.contains(&node.name) => EndpointState::Draining,
+            EndpointState::Ready if self.drained_nodes.contains(&node.name) => EndpointState::Draining,
             state => state,
         }
     }
 
-    fn view(&self, node: &InventoryNode) -> NodeView {
+    fn node_view(&self, node: &InventoryNode) -> NodeView {
         NodeView {
             name: node.name.clone(),
             address: node.address.to_string(),
@@ -144,7 +148,7 @@
                 EndpointState::Draining => "draining",
                 EndpointState::Removed => "gone",
             },
-            drained_here: self.drained.contains(&node.name),
+            drained_here: self.drained_nodes.contains(&node.name),
         }
     }
 }
--- a/src/gateway/inventory/file.rs
+++ b/src/gateway/inventory/file.rs
@@ -1,31 +1,31 @@
-//! The inventory file.
+//! Reads the inventory file.
 
 use crate::protocol::inventory::{self, Format, InventoryFault, InventoryNode};
 use std::path::Path;
 
-/// Why an inventory file cannot be used.
+/// Reasons why an inventory file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InventoryReadError {
-    /// The file's name says neither CSV nor YAML.
+    /// The extension of the file's name is neither that of CSV nor that of YAML.
     #[error("{path}: the name must end in .csv, .yaml or .yml")]
     UnknownFormat {
-        /// The file.
+        /// Path of the inventory file.
         path: String,
     },
     /// The file cannot be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the inventory file.
         path: String,
-        /// The system's error.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// The file's content is invalid.
+    /// The content of the file is invalid.
     #[error("{path}: {places}", places = join_errors(.errors))]
     Invalid {
-        /// The file.
+        /// Path of the inventory file.
         path: String,
-        /// Every place that is invalid.
+        /// All faults in the file.
         errors: Vec<InventoryFault>,
     },
 }
@@ -34,11 +34,11 @@
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Reads an inventory file.
+/// Reads and validates an inventory file, whose format follows from its extension.
 ///
 /// # Errors
 ///
-/// Returns an error if the file cannot be read, or any part of it is invalid.
+/// Returns an error if the file's extension is unknown, the file cannot be read, or any part of it is invalid.
 pub fn read(path: &Path) -> Result<Vec<InventoryNode>, InventoryReadError> {
     let name = path.display().to_string();
     let Some(format) = Format::from_path(path) else {
--- a/src/gateway/inventory/mod.rs
+++ b/src/gateway/inventory/mod.rs
@@ -1,4 +1,5 @@
-//! The inventory of storage nodes, which takes the place of discovery where an operator runs the gateway.
+//! Reads the operator's inventory of storage nodes, from which an object gateway gets its endpoints instead of
+//! from discovery.
 
 mod actor;
 mod file;
--- a/src/gateway/inventory/racks.rs
+++ b/src/gateway/inventory/racks.rs
@@ -1,16 +1,16 @@
-//! The numbers of the racks.
+//! Assigns shard numbers to racks.
 
 use crate::scheduler::ShardId;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The racks that have been named, numbered as the scheduler's shards. A rack keeps its number. Clones share
-/// one registry.
+/// The racks seen so far, each with its number, which the scheduler uses as the shard number. The number of a
+/// rack never changes. Clones share one registry.
 #[derive(Clone, Default)]
 pub struct RackRegistry(Rc<RefCell<Vec<String>>>);
 
 impl RackRegistry {
-    /// The number of a rack; a new rack gets the next one.
+    /// Returns the number of a rack. A rack that is not yet in the registry is added with the next number.
     pub fn shard(&self, rack: &str) -> ShardId {
         let mut racks = self.0.borrow_mut();
         let index = racks.iter().position(|known| known == rack).unwrap_or_else(|| {
--- a/src/gateway/startup/platform_gateway.rs
+++ b/src/gateway/startup/platform_gateway.rs
@@ -29,7 +29,7 @@
     let hangup = hangup_signal()?;
     shutdown.extend_service_period(longest_deadline(&config.settings));
     let ConnectionBudget { clients, nodes: pool_limits } = connection_budget(&config);
-    let nodes = NodeRegistry::new(pool_limits, config.zones);
+    let nodes = NodeRegistry::new(pool_limits, config.zone_names);
     let overload_retry_after_us = config.settings.max_retry_after_us;
     let watch_wait = watch_wait(config.settings.gateway_index, config.settings.gateway_count);
     let (router_actor, router) =
--- a/src/gateway/tenants/mod.rs
+++ b/src/gateway/tenants/mod.rs
@@ -1,4 +1,5 @@
-//! The tenants of the object API: their plans, volumes, racks and tokens.
+//! The tenants of the object API: validates their definitions, identifies tenants by their tokens, and assigns
+//! objects to racks.
 
 use super::hashing::{HASH_LEN, hash_fields};
 use crate::protocol::admin::{TenantDefinition, TenantView};
@@ -10,23 +11,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Volume names that would hide a path of the gateway's own.
+/// Names that a volume must not have, because its path would conflict with a path of the gateway itself.
 const RESERVED_VOLUME_NAMES: [&str; 1] = ["health"];
 
-/// The longest name of a tenant, in bytes; [`TenantFault::InvalidName`] states it too.
+/// Maximum length of a tenant's name, in bytes. The message of [`TenantFault::InvalidName`] repeats this number.
 const MAX_NAME_LEN: usize = 40;
 
-/// The hash that is stored of a token, in place of the token.
+/// The SHA-256 hash of a bearer token. Tokens are stored only in this form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenHash([u8; HASH_LEN]);
 
 impl TokenHash {
-    /// The hash of a token. Tokens are long and random, so a plain hash suffices: there is nothing to guess.
+    /// Returns the hash of `token`. A hash without salt and key stretching is sufficient because tokens are long
+    /// and random, and therefore cannot be guessed.
     pub fn of(token: &str) -> Self {
         TokenHash(Sha256::digest(token.as_bytes()).into())
     }
 
-    /// Parses a hash of 64 hex digits; none if the text is malformed.
+    /// Parses a hash of 64 hex digits; returns `None` if the text is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         if !text.is_ascii() || text.len() != 2 * HASH_LEN {
             return None;
@@ -37,69 +39,71 @@
     }
 }
 
-/// Why a tenant is not accepted.
+/// Reasons why a tenant is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TenantError {
-    /// The configuration defines it twice.
+    /// The configuration file defines two tenants with this name.
     #[error("tenant '{0}' is there twice")]
     Duplicate(String),
-    /// Its definition is invalid.
+    /// The definition of the tenant is invalid.
     #[error("tenant '{tenant}': {fault}")]
     Invalid {
-        /// The tenant's name.
+        /// Name of the tenant, possibly invalid itself.
         tenant: String,
-        /// What is wrong.
+        /// The fault in the definition.
         fault: TenantFault,
     },
 }
 
-/// What is wrong with a tenant's definition.
+/// Faults in the definition of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TenantFault {
-    /// The tenant's name is invalid.
+    /// The name is empty, is longer than 40 bytes or contains a character that is not allowed.
     #[error("a name is 1 to 40 lower-case letters, digits or hyphens")]
     InvalidName,
-    /// No plan has this name.
+    /// The configuration defines no service plan with this name.
     #[error("unknown plan '{0}'")]
     UnknownPlan(String),
-    /// The name of a volume is invalid.
+    /// This volume name is not a valid bucket name, or is reserved.
     #[error("'{0}' is not allowed as a volume's name")]
     InvalidVolumeName(String),
-    /// There is no rack, or one has an invalid name.
+    /// The definition contains no rack, or a rack with an invalid name.
     #[error("racks must name one rack or more")]
     InvalidRacks,
-    /// The token's hash cannot be parsed.
+    /// The token's hash does not consist of 64 hex digits.
     #[error("token_sha256 must be 64 hex digits")]
     InvalidTokenHash,
-    /// The token identifies another tenant.
+    /// Another tenant already has this token, so the token would not identify one tenant.
     #[error("another tenant has the same token")]
     TokenInUse,
 }
 
-/// A tenant.
+/// A tenant whose definition is valid.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name, unique among tenants.
     pub name: String,
-    /// Its plan.
+    /// The service plan that applies to each of the tenant's volumes.
     pub plan: PlanIndex,
-    /// Its volumes: the buckets of the object API.
+    /// Names of the tenant's volumes, which are buckets in the object API.
     pub volumes: Vec<String>,
-    /// The racks that hold its objects.
+    /// Names of the racks that store the tenant's objects; at least one.
     pub racks: Vec<String>,
     token_hash: TokenHash,
 }
 
 impl Tenant {
-    /// The rack that holds an object, by rendezvous hashing: the tenant's rack with the highest hash of rack
-    /// and object. Every gateway finds the same rack, and when a rack is removed only its own objects
-    /// migrate.
+    /// Returns the rack that stores an object, or `None` if the tenant has no racks.
+    ///
+    /// The rack is selected by rendezvous hashing: it is the one for which the hash of rack, tenant, bucket and
+    /// key is highest. All gateways select the same rack, and the removal of a rack changes the rack only of
+    /// the objects that were on it.
     pub fn rack(&self, bucket: &str, key: &str) -> Option<&String> {
         self.racks.iter().max_by_key(|rack| hash_fields(&[rack.as_str(), &self.name, bucket, key]))
     }
 }
 
-/// The tenants, by name. Clones share one registry.
+/// The tenants, by name, and the names of the service plans. Clones share the tenants.
 #[derive(Clone)]
 pub struct TenantRegistry {
     plans: Rc<Vec<String>>,
@@ -107,11 +111,12 @@
 }
 
 impl TenantRegistry {
-    /// The tenants of a configuration, and the names of the plans, in the order of their numbers.
+    /// Creates a registry with the tenants in `definitions`. `plans` are the names of the service plans, ordered
+    /// by plan index.
     ///
     /// # Errors
     ///
-    /// Returns an error if a definition is invalid, or a tenant is defined twice.
+    /// Returns an error if a definition is invalid, or if two tenants have the same name.
     pub fn new(plans: Vec<String>, definitions: Vec<TenantDefinition>) -> Result<Self, TenantError> {
         let registry = TenantRegistry { plans: Rc::new(plans), tenants: Rc::default() };
         for definition in definitions {
@@ -123,11 +128,11 @@
         Ok(registry)
     }
 
-    /// Adds or replaces a tenant.
+    /// Adds a tenant, or replaces the tenant with the same name.
     ///
     /// # Errors
     ///
-    /// Returns an error if the definition is invalid; then nothing changes.
+    /// Returns an error if the definition is invalid. The registry is not changed in this case.
     pub fn put(&self, definition: TenantDefinition) -> Result<(), TenantError> {
         let name = definition.name.clone();
         let tenant = self
@@ -158,18 +163,19 @@
         Ok(Tenant { name, plan: PlanIndex(plan), volumes, racks, token_hash })
     }
 
-    /// Removes a tenant; returns whether it existed.
+    /// Removes the tenant with this name; returns whether it existed.
     pub fn remove(&self, name: &str) -> bool {
         self.tenants.borrow_mut().remove(name).is_some()
     }
 
-    /// The tenant with this token. Hashes are compared, so the time taken reveals nothing of a token.
+    /// Returns the tenant with this token. Compares hashes instead of tokens, so that the duration of the
+    /// comparison reveals nothing about the tokens.
     pub fn with_token(&self, token: &str) -> Option<Rc<Tenant>> {
         let token_hash = TokenHash::of(token);
         self.tenants.borrow().values().find(|tenant| tenant.token_hash == token_hash).cloned()
     }
 
-    /// The tenants as the administration API shows them.
+    /// Returns all tenants, ordered by name, in the form for responses of the administration API.
     pub fn views(&self) -> Vec<TenantView> {
         let view = |tenant: &Rc<Tenant>| TenantView {
             name: tenant.name.clone(),
--- a/src/gateway/tenants/tests.rs
+++ b/src/gateway/tenants/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_object_stays_on_its_rack_when_another_rack_goes() {
+fn an_object_stays_on_its_rack_when_another_rack_is_removed() {
     let mut tenant = Tenant {
         name: "uni".into(),
         plan: PlanIndex(0),
@@ -10,11 +10,11 @@
         token_hash: TokenHash::of("t"),
     };
     let keys: Vec<String> = (0..60).map(|n| format!("k{n}")).collect();
-    let homes: Vec<_> = keys.iter().map(|k| tenant.rack("b", k).unwrap().clone()).collect();
-    assert!(tenant.racks.iter().all(|r| homes.contains(r)));
+    let original_racks: Vec<_> = keys.iter().map(|k| tenant.rack("b", k).unwrap().clone()).collect();
+    assert!(tenant.racks.iter().all(|r| original_racks.contains(r)));
     tenant.racks.reverse();
     tenant.racks.retain(|r| r != "r2");
-    for (key, home) in keys.iter().zip(homes).filter(|(_, home)| home != "r2") {
-        assert_eq!(*tenant.rack("b", key).unwrap(), home);
+    for (key, rack) in keys.iter().zip(original_racks).filter(|(_, rack)| rack != "r2") {
+        assert_eq!(*tenant.rack("b", key).unwrap(), rack);
     }
 }
