--- a/src/gateway/config/object/file.rs
+++ b/src/gateway/config/object/file.rs
@@ -58,8 +58,8 @@
     /// Number of bytes that the scheduler counts as one unit of work.
     #[serde(default = "default_unit_len", rename = "unit")]
     pub unit_len: u64,
-    /// Path of the file with the secret that signs upload ids, relative to the configuration file. All gateways
-    /// must have the same secret.
+    /// Path of the file with the secret that signs upload ids, relative to the configuration file. All
+    /// gateways must have the same secret.
     pub upload_secret_file: PathBuf,
 }
 
--- a/src/gateway/inventory/actor.rs
+++ b/src/gateway/inventory/actor.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Reads the inventory file again and publishes its endpoints. Ends the drains of nodes that are no longer in
-    /// the file.
+    /// Reads the inventory file again and publishes its endpoints. Ends the drains of nodes that are no
+    /// longer in the file.
     fn reload(&mut self) -> Result<usize, InventoryReadError> {
         self.inventory = read(&self.path)?;
         self.drained_nodes.retain(|name| contains_node(&self.inventory, name));
--- a/src/gateway/inventory/file.rs
+++ b/src/gateway/inventory/file.rs
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file's extension is unknown, the file cannot be read, or any part of it is invalid.
+/// Returns an error if the extension is unknown, the file cannot be read, or any part of it is invalid.
 pub fn read(path: &Path) -> Result<Vec<InventoryNode>, InventoryReadError> {
     let name = path.display().to_string();
     let Some(format) = Format::from_path(path) else {
--- a/src/gateway/inventory/mod.rs
+++ b/src/gateway/inventory/mod.rs
@@ -1,5 +1,4 @@
-//! Reads the operator's inventory of storage nodes, from which an object gateway gets its endpoints instead of
-//! from discovery.
+//! The operator's inventory of storage nodes, which object gateways use instead of discovery.
 
 mod actor;
 mod file;
--- a/src/gateway/startup/mod.rs
+++ b/src/gateway/startup/mod.rs
@@ -1,4 +1,5 @@
-//! Starts a gateway: the runtime, and the actors and servers of either kind.
+//! Starts and runs a gateway: creates the async runtime, then the actors and servers of the platform gateway
+//! or of the object gateway.
 
 pub mod object_gateway;
 pub mod platform_gateway;
@@ -18,7 +19,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 
-/// What a gateway of either kind is started with.
+/// Objects that both kinds of gateway receive at startup.
 pub struct GatewayContext {
     shutdown: Rc<ShutdownSchedule>,
     metrics: Rc<GatewayMetrics>,
@@ -28,17 +29,18 @@
 
 /// The tasks of a running gateway.
 pub struct RunningTasks {
-    /// Each ends when the shutdown has reached it and its connections are closed.
+    /// Each server ends during the shutdown, once all its connections are closed.
     servers: Vec<JoinHandle<()>>,
-    /// These run for as long as the gateway.
+    /// Actors run for as long as the gateway; if one ends, the gateway exits with an error.
     actors: Vec<JoinHandle<()>>,
 }
 
-/// Starts a gateway and runs it until SIGTERM or SIGINT, and then until every request is answered.
+/// Starts a gateway and runs it until its graceful shutdown after SIGTERM or SIGINT is complete. Logs the
+/// metrics at the end.
 ///
 /// # Errors
 ///
-/// Returns an error if the system denies what the gateway needs, or an actor ends.
+/// Returns an error if a resource of the operating system is not available, or if an actor ends.
 pub fn run<F>(start: impl FnOnce(GatewayContext) -> F) -> Result<(), RunError>
 where
     F: Future<Output = Result<RunningTasks, RunError>>,
@@ -64,20 +66,21 @@
     let tasks = start(GatewayContext { shutdown, metrics, phase, clock: Clock::start() }).await?;
     tokio::select! {
         () = wait_for_all(tasks.servers) => Ok(()),
-        () = wait_for_first(tasks.actors) => Err(RunError::ActorStopped),
-        // Drives the shutdown and never ends by itself: the servers end first.
+        () = wait_for_any(tasks.actors) => Err(RunError::ActorStopped),
+        // Runs the shutdown and handles SIGUSR1. This branch never completes, so the servers always end first.
         () = signals => Ok(()),
     }
 }
 
 async fn wait_for_all(tasks: Vec<JoinHandle<()>>) {
     for task in tasks {
-        // A server that panicked has ended as well.
+        // An error means that the server panicked, and it has ended in this case too.
         let _ = task.await;
     }
 }
 
-async fn wait_for_first(tasks: Vec<JoinHandle<()>>) {
+/// Returns once any of the tasks has ended.
+async fn wait_for_any(tasks: Vec<JoinHandle<()>>) {
     let mut set = JoinSet::new();
     for task in tasks {
         set.spawn_local(task);
@@ -85,7 +88,7 @@
     set.join_next().await;
 }
 
-/// Starts a server that has the front end answer the requests of a listener.
+/// Starts a server that accepts connections from `listener` and answers their requests with `frontend`.
 fn spawn_server<T: Frontend + 'static>(
     listener: TcpListener,
     limits: ConnectionLimits,
@@ -98,9 +101,10 @@
     }))
 }
 
+/// Binds a listener to `address` and logs its local address.
 async fn listen(address: SocketAddr) -> Result<TcpListener, RunError> {
     let listener = TcpListener::bind(address).await.map_err(|source| RunError::Bind { address, source })?;
-    // The address in full: with port 0 the system chooses the port.
+    // If the configured port is 0, the operating system chooses the port, and the log must contain this port.
     let local_address = listener.local_addr().map_err(|source| RunError::LocalAddress { source })?;
     log::write(format_args!("serving on {local_address}"));
     Ok(listener)
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -1,5 +1,5 @@
-//! Starts a gateway that serves the object API and the administration API, and takes storage nodes from an
-//! inventory.
+//! Starts an object gateway, which serves the object API and the administration API, and gets its storage
+//! nodes from an inventory.
 
 use super::{GatewayContext, RunningTasks, listen, spawn_server};
 use crate::gateway::admin_frontend::AdminFrontend;
@@ -25,14 +25,14 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// Connections to the administration API: enough for a few operators and their tools.
-const ADMIN_CONNECTIONS: ConnectionLimits = ConnectionLimits { max_served: 16, max_rejected: 4 };
+/// Limits for connections to the administration API, sufficient for a few operators and their tools.
+const ADMIN_CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits { max_served: 16, max_rejected: 4 };
 
-/// Starts the gateway's actors and its servers.
+/// Starts the gateway's actors, then its servers for the object API and the administration API.
 ///
 /// # Errors
 ///
-/// Returns an error if the SIGHUP handler cannot be installed, or an address cannot be bound.
+/// Returns an error if the SIGHUP handler cannot be installed, or if a listener cannot be bound.
 pub async fn start(config: ObjectGatewayConfig, context: GatewayContext) -> Result<RunningTasks, RunError> {
     let hangup = hangup_signal()?;
     let ConnectionBudget { clients, nodes: pool_limits } = connection_budget(&config);
@@ -40,7 +40,8 @@
     let started = GatewayActors::start(config.inventory, config.settings, config.limits, nodes, &context);
     let GatewayActors { router, racks, inventory, tasks: mut actors } = started;
     let GatewayContext { metrics, phase, clock, .. } = context;
-    // This task also keeps the inventory's actor alive after the administration's server has ended.
+    // This task owns a sender of commands, which keeps the inventory actor running after the administration
+    // API's server has ended.
     actors.push(spawn_local(reload_inventory(hangup, inventory.clone(), metrics.clone())));
     let object_frontend = Rc::new(ObjectFrontend {
         router,
@@ -65,27 +66,28 @@
     let admin_listener = listen(config.admin_listen).await?;
     let servers = vec![
         spawn_server(object_listener, clients, phase.clone(), object_frontend),
-        spawn_server(admin_listener, ADMIN_CONNECTIONS, phase, admin_frontend),
+        spawn_server(admin_listener, ADMIN_CONNECTION_LIMITS, phase, admin_frontend),
     ];
     Ok(RunningTasks { servers, actors })
 }
 
 fn connection_budget(config: &ObjectGatewayConfig) -> ConnectionBudget {
-    let for_administration = ADMIN_CONNECTIONS.max_served + ADMIN_CONNECTIONS.max_rejected;
+    let max_admin_connections = ADMIN_CONNECTION_LIMITS.max_served + ADMIN_CONNECTION_LIMITS.max_rejected;
     let timeouts = NodeConnectionTimeouts {
         connect: Duration::from_micros(config.settings.connect_timeout_us),
         node_idle: config.node_idle_timeout,
     };
-    divide_descriptors(config.descriptors.saturating_sub(for_administration), timeouts)
+    divide_descriptors(config.descriptors.saturating_sub(max_admin_connections), timeouts)
 }
 
-/// The names of the nodes' zones, sorted, each once.
+/// Returns the names of the nodes' zones, sorted and without duplicates.
 fn zone_names(nodes: &[InventoryNode]) -> Vec<String> {
     let names: BTreeSet<String> = nodes.iter().map(|node| node.zone.clone()).collect();
     names.into_iter().collect()
 }
 
-/// The router's and the inventory's actors, and what reaches them.
+/// The tasks of the router actor and the inventory actor, and the handles through which other parts of the
+/// gateway use them.
 struct GatewayActors {
     router: RouterHandle<ObjectPayload, NodeResponse>,
     racks: RackRegistry,
--- a/src/gateway/startup/platform_gateway.rs
+++ b/src/gateway/startup/platform_gateway.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway that speaks the platform's protocol and takes storage nodes from discovery.
+//! Starts a platform gateway, which serves the platform's protocol and gets its storage nodes from discovery.
 
 use super::{GatewayContext, RunningTasks, listen, spawn_server};
 use crate::gateway::config::platform::PlatformConfig;
@@ -16,14 +16,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// The shortest connect timeout, for settings that state none or next to none.
+/// Minimum connect timeout, which applies if the settings specify none or a very short one.
 const MIN_CONNECT_TIMEOUT_US: u64 = 1_000;
 
-/// Starts the gateway's actors and its server.
+/// Starts the gateway's actors, then its server.
 ///
 /// # Errors
 ///
-/// Returns an error if the SIGHUP handler cannot be installed, or the address cannot be bound.
+/// Returns an error if the SIGHUP handler cannot be installed, or if the listener cannot be bound.
 pub async fn start(config: PlatformConfig, context: GatewayContext) -> Result<RunningTasks, RunError> {
     let GatewayContext { shutdown, metrics, phase, clock } = context;
     let hangup = hangup_signal()?;
--- a/src/gateway/tenants/mod.rs
+++ b/src/gateway/tenants/mod.rs
@@ -1,5 +1,5 @@
-//! The tenants of the object API: validates their definitions, identifies tenants by their tokens, and assigns
-//! objects to racks.
+//! The tenants of the object API: validates their definitions, identifies tenants by their tokens, and
+//! assigns objects to racks.
 
 use super::hashing::{HASH_LEN, hash_fields};
 use crate::protocol::admin::{TenantDefinition, TenantView};
@@ -14,7 +14,8 @@
 /// Names that a volume must not have, because its path would conflict with a path of the gateway itself.
 const RESERVED_VOLUME_NAMES: [&str; 1] = ["health"];
 
-/// Maximum length of a tenant's name, in bytes. The message of [`TenantFault::InvalidName`] repeats this number.
+/// Maximum length of a tenant's name, in bytes. The message of [`TenantFault::InvalidName`] contains the same
+/// number.
 const MAX_NAME_LEN: usize = 40;
 
 /// The SHA-256 hash of a bearer token. Tokens are stored only in this form.
@@ -22,8 +23,8 @@
 pub struct TokenHash([u8; HASH_LEN]);
 
 impl TokenHash {
-    /// Returns the hash of `token`. A hash without salt and key stretching is sufficient because tokens are long
-    /// and random, and therefore cannot be guessed.
+    /// Returns the hash of `token`. A plain hash is sufficient because tokens are long and random, and
+    /// therefore cannot be guessed.
     pub fn of(token: &str) -> Self {
         TokenHash(Sha256::digest(token.as_bytes()).into())
     }
@@ -95,9 +96,9 @@
 impl Tenant {
     /// Returns the rack that stores an object, or `None` if the tenant has no racks.
     ///
-    /// The rack is selected by rendezvous hashing: it is the one for which the hash of rack, tenant, bucket and
-    /// key is highest. All gateways select the same rack, and the removal of a rack changes the rack only of
-    /// the objects that were on it.
+    /// The rack is selected by rendezvous hashing: it is the one for which the hash of rack, tenant, bucket
+    /// and key is highest. All gateways select the same rack, and if a rack is removed, only the objects on
+    /// that rack migrate.
     pub fn rack(&self, bucket: &str, key: &str) -> Option<&String> {
         self.racks.iter().max_by_key(|rack| hash_fields(&[rack.as_str(), &self.name, bucket, key]))
     }
@@ -111,8 +112,8 @@
 }
 
 impl TenantRegistry {
-    /// Creates a registry with the tenants in `definitions`. `plans` are the names of the service plans, ordered
-    /// by plan index.
+    /// Creates a registry with the tenants in `definitions`. `plans` are the names of the service plans,
+    /// ordered by plan index.
     ///
     /// # Errors
     ///
