--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -21,7 +21,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Maximum deadline of a class, in milliseconds: one hour. This limit is not from the platform's pages.
+/// Maximum deadline of a class, in milliseconds: one hour. This limit is defined by the gateway, not by the
+/// platform.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// The configuration of an object gateway.
--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -1,13 +1,13 @@
 //! Derives the scheduler's settings for the object API from the operator's file.
 //!
-//! Settings that the file does not contain have constant values. Settings that the platform would specify are
-//! taken from the example settings on the Wire page, unless stated otherwise.
+//! Settings that the file does not contain are constants. If the platform's settings include the setting, the
+//! constant is its value in the example settings on the Wire page, unless stated otherwise.
 
 use super::file::{ClassSection, ObjectConfigFile, PlanSection};
 use crate::scheduler::{DeduplicationScope, Idempotency, RequestClass, SchedulerSettings, ServicePlan};
 
 /// Maximum size of a request in units: 4 MiB at the default unit size. Larger requests count as this many
-/// units. This limit is not from the platform's pages.
+/// units. This limit is defined by the gateway, not by the platform.
 pub const MAX_REQUEST_UNITS: u64 = 64;
 /// Mean size of a request in units, close to `usualUnits` in the Wire page's example (2.16).
 const MEAN_REQUEST_UNITS: f64 = 2.0;
@@ -19,7 +19,7 @@
 /// example.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
 /// Maximum `Retry-After` that clients are expected to honor. The object API sends it in whole seconds. This
-/// value is not from the platform's pages.
+/// value is defined by the gateway, not by the platform.
 const MAX_RETRY_AFTER_US: u64 = 5_000_000;
 /// Time after the client's deadline during which a final answer is still accepted: `graceToAnswerUs` in the
 /// Wire page's example.
--- a/src/gateway/hashing.rs
+++ b/src/gateway/hashing.rs
@@ -5,8 +5,8 @@
 /// Length of a SHA-256 hash, in bytes.
 pub const HASH_LEN: usize = 32;
 
-/// Returns the SHA-256 hash of a sequence of fields. Each field is preceded by its length, so that sequences
-/// with different boundaries between fields have different inputs to the hash.
+/// Returns the SHA-256 hash of a sequence of fields. Each field is preceded by its length, which
+/// makes the boundaries between fields unambiguous.
 pub fn hash_fields<T: AsRef<[u8]>>(fields: &[T]) -> [u8; HASH_LEN] {
     let mut hash = Sha256::new();
     for field in fields {
--- a/src/gateway/inventory/file.rs
+++ b/src/gateway/inventory/file.rs
@@ -6,7 +6,7 @@
 /// Reasons why an inventory file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InventoryReadError {
-    /// The extension of the file's name is neither that of CSV nor that of YAML.
+    /// The extension of the file is not `csv`, `yaml` or `yml`.
     #[error("{path}: the name must end in .csv, .yaml or .yml")]
     UnknownFormat {
         /// Path of the inventory file.
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -51,7 +51,7 @@
 ) {
     while hangup.recv().await.is_some() {
         let (reply, result) = oneshot::channel();
-        // Fails only if the inventory actor has ended; the reply is an error in that case.
+        // Sending fails only if the inventory actor has ended; `result` is then an error, too.
         let _ = inventory.send(InventoryCommand::Reload(reply));
         match result.await {
             Ok(Ok(node_count)) => {
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -5,7 +5,7 @@
 //! | starts | phase | effect |
 //! | --- | --- | --- |
 //! | at the signal | `Terminating` | readiness checks fail; new connections are still accepted |
-//! | [`ACCEPT_PERIOD`] after the signal | `Draining` | no new connections; open ones are still served |
+//! | [`ACCEPT_PERIOD`] after the signal | `Draining` | no connection is accepted; open ones are served |
 //! | the service period after the signal | `FinalResponses` | each response closes its connection |
 //! | [`FINAL_RESPONSES_PERIOD`] later | `ClosingIdle` | idle connections are closed as well |
 //! | [`CLOSING_IDLE_PERIOD`] later | | all requests have been answered |
@@ -35,9 +35,10 @@
 /// Safety margin between the time by which all requests must have been answered and the earliest SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(200);
 
-/// The times of the shutdown phases.
+/// Runs the shutdown. Stores the length of the service period and, once the shutdown has started, the time by
+/// which all requests must be answered.
 pub struct ShutdownSchedule {
-    /// Time after the signal during which open connections are served without being closed.
+    /// Time from the signal until the `FinalResponses` phase starts.
     service_period: Cell<Duration>,
     /// Time by which all requests must be answered; `None` until the shutdown starts.
     answer_by: Cell<Option<Instant>>,
@@ -54,8 +55,9 @@
         self.answer_by.get()
     }
 
-    /// Extends the service period so that all requests are answered [`SIGKILL_MARGIN`] before the earliest
-    /// SIGKILL of the platform, which depends on the longest deadline of any request class.
+    /// Extends the service period so that all requests are answered [`SIGKILL_MARGIN`] before the platform's
+    /// earliest SIGKILL, which depends on the longest deadline of any request class. The service period is
+    /// never shorter than [`ACCEPT_PERIOD`].
     pub fn extend_service_period(&self, longest_deadline: Duration) {
         let earliest_sigkill = longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_PERIOD;
         let time_after_service = SIGKILL_MARGIN + CLOSING_IDLE_PERIOD + FINAL_RESPONSES_PERIOD;
--- a/src/gateway/startup/mod.rs
+++ b/src/gateway/startup/mod.rs
@@ -67,7 +67,7 @@
     tokio::select! {
         () = wait_for_all(tasks.servers) => Ok(()),
         () = wait_for_any(tasks.actors) => Err(RunError::ActorStopped),
-        // Runs the shutdown and handles SIGUSR1. This branch never completes, so the servers always end first.
+        // Runs the shutdown and handles SIGUSR1. Never completes, so the servers end first.
         () = signals => Ok(()),
     }
 }
--- a/src/gateway/tenants/mod.rs
+++ b/src/gateway/tenants/mod.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// The tenants, by name, and the names of the service plans. Clones share the tenants.
+/// The tenants, by name, and the names of the service plans. Clones share one registry.
 #[derive(Clone)]
 pub struct TenantRegistry {
     plans: Rc<Vec<String>>,
@@ -129,7 +129,7 @@
         Ok(registry)
     }
 
-    /// Adds a tenant, or replaces the tenant with the same name.
+    /// Validates a definition, and adds the tenant or replaces the tenant with the same name.
     ///
     /// # Errors
     ///
