--- a/src/gateway/inventory/mod.rs
+++ b/src/gateway/inventory/mod.rs
@@ -1,4 +1,4 @@
-//! The inventory of storage nodes, which takes the place of discovery where an operator runs the gateway.
+//! The operator's inventory of storage nodes, which object gateways use instead of discovery.
 
 mod actor;
 mod file;
