--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -1,4 +1,4 @@
-//! The front end for the administration API.
+//! Front end for the administration API: authorizes and executes operators' commands.
 
 use super::frontend::{Frontend, add_bearer_challenge};
 use super::inventory::{InventoryCommand, InventoryReadError};
@@ -15,24 +15,25 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// The longest body of a request, in bytes.
+/// Maximum length of a request's body, in bytes.
 const MAX_BODY_LEN: usize = 64 * 1024;
 
-/// The front end for the administration API.
+/// Front end for the administration API. All requests, including health checks, need the administration's
+/// bearer token.
 pub struct AdminFrontend {
-    /// The hash of the administration's token.
+    /// Hash of the bearer token that authorizes requests.
     pub token_hash: TokenHash,
-    /// The tenants.
+    /// The tenants, shared with the object front end, so that changes take effect at once.
     pub tenants: TenantRegistry,
-    /// Commands to the inventory's actor.
+    /// Sender of commands to the inventory's actor.
     pub inventory: mpsc::UnboundedSender<InventoryCommand>,
-    /// The counters.
+    /// The gateway's counters, which `/v1/counters` reports.
     pub metrics: Rc<GatewayMetrics>,
-    /// Whether the program still serves.
+    /// Phase of the graceful shutdown, which `/v1/health` reports.
     pub phase: watch::Receiver<LifecyclePhase>,
 }
 
-/// The answer to a request.
+/// The status and the JSON body of a response.
 struct AdminResponse {
     status: StatusCode,
     body: Value,
@@ -47,7 +48,8 @@
         AdminResponse { status, body: json!({"error": text.into()}) }
     }
 
-    /// The inventory's actor has ended, as the program is shutting down.
+    /// Returns the response for the case that the inventory's actor has ended because the gateway is shutting
+    /// down.
     fn stopping() -> Self {
         Self::error(StatusCode::SERVICE_UNAVAILABLE, "stopping")
     }
@@ -111,10 +113,10 @@
 
     async fn execute(&self, operation: AdminOperation, body: Incoming) -> AdminResponse {
         match operation {
-            AdminOperation::ReportHealth => self.health(),
+            AdminOperation::ReportHealth => self.report_health(),
             AdminOperation::ReportCounters => AdminResponse::ok(json!(self.metrics.by_name())),
             AdminOperation::ListTenants => AdminResponse::ok(json!({"tenants": self.tenants.views()})),
-            AdminOperation::ShowTenant(name) => self.tenant(&name),
+            AdminOperation::ShowTenant(name) => self.show_tenant(&name),
             AdminOperation::PutTenant(name) => self.put_tenant(name, body).await,
             AdminOperation::DeleteTenant(name) => self.delete_tenant(&name),
             AdminOperation::ListNodes => self.list_nodes().await,
@@ -124,7 +126,7 @@
         }
     }
 
-    fn health(&self) -> AdminResponse {
+    fn report_health(&self) -> AdminResponse {
         match *self.phase.borrow() {
             LifecyclePhase::Serving => AdminResponse::ok(json!({"status": "serving"})),
             _ => {
@@ -133,7 +135,7 @@
         }
     }
 
-    fn tenant(&self, name: &str) -> AdminResponse {
+    fn show_tenant(&self, name: &str) -> AdminResponse {
         match self.tenants.views().into_iter().find(|tenant| tenant.name == name) {
             Some(tenant) => AdminResponse::ok(json!(tenant)),
             None => AdminResponse::error(StatusCode::NOT_FOUND, "no such tenant"),
@@ -177,14 +179,14 @@
 
     async fn drain_node(&self, node: String) -> AdminResponse {
         let name = node.clone();
-        let known = self.query_inventory(|reply| InventoryCommand::DrainNode { node, reply }).await;
-        node_response(&name, "draining", known)
+        let node_exists = self.query_inventory(|reply| InventoryCommand::DrainNode { node, reply }).await;
+        node_response(&name, "draining", node_exists)
     }
 
     async fn return_node(&self, node: String) -> AdminResponse {
         let name = node.clone();
-        let known = self.query_inventory(|reply| InventoryCommand::ReturnNode { node, reply }).await;
-        node_response(&name, "as in the inventory", known)
+        let node_exists = self.query_inventory(|reply| InventoryCommand::ReturnNode { node, reply }).await;
+        node_response(&name, "as in the inventory", node_exists)
     }
 
     async fn reload_inventory(&self) -> AdminResponse {
@@ -195,7 +197,8 @@
         }
     }
 
-    /// Sends a command to the inventory's actor and awaits its reply; none if the actor has ended.
+    /// Sends a command to the inventory's actor and waits for the reply. Returns `None` if the actor has
+    /// ended.
     async fn query_inventory<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> InventoryCommand,
@@ -206,10 +209,10 @@
     }
 }
 
-/// The answer to a command that brings a node into this state. `known` says whether the inventory names the
-/// node; none if the inventory's actor has ended.
-fn node_response(name: &str, state: &str, known: Option<bool>) -> AdminResponse {
-    match known {
+/// Returns the response to a command that sets the state of a node. `node_exists` is whether the inventory
+/// contains the node; `None` if the inventory's actor has ended.
+fn node_response(name: &str, state: &str, node_exists: Option<bool>) -> AdminResponse {
+    match node_exists {
         Some(true) => AdminResponse::ok(json!({"node": name, "state": state})),
         Some(false) => AdminResponse::error(StatusCode::NOT_FOUND, "no such node"),
         None => AdminResponse::stopping(),
--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! Polls discovery for the endpoint list.
+//! Polls the discovery service for the endpoint list and publishes the results to the router.
 
 use super::log;
 use super::metrics::GatewayMetrics;
@@ -14,75 +14,83 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a watch waits for changes, as in the Protocol page's example.
+/// Longest time for which a watch waits for changes, as in the Protocol page's example.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
-/// By how much less the watch of the last of many gateways waits.
+/// Range of the watch waits: the last of many gateways waits this much less than [`MAX_WATCH_WAIT`].
 const WATCH_WAIT_SPREAD: Duration = Duration::from_secs(8);
-/// How long a call may take, beyond the wait of a watch. The platform treats a gateway as informed of a
-/// change at fixed times, whether or not the change reached it: 2 s after the wait of a watch that stays
-/// silent, and 6 s after any change (Protocol page, "Figures"). A failed call is repeated at most 4.5 s
-/// later, which leaves 1.5 s for the call.
+/// Maximum duration of a call to discovery; for a watch, in addition to its wait.
+///
+/// The platform considers a gateway informed of a change at fixed times, whether or not the gateway received
+/// the change: 2 s after the end of the wait of a watch that receives no response, and 6 s after any change
+/// (Protocol page, "Figures"). A failed call is repeated at most 4.5 s later, which leaves 1.5 s for the call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest endpoint list that is read, in bytes. The limit is the gateway's own: 3,200 storage nodes, the
-/// most of "A Fixed Test for All Future Versions of the Gateway", take 419,200 bytes at the length of the
-/// Protocol page's example.
+/// Maximum length of an endpoint list, in bytes. The gateway sets this limit, not the platform. A list of
+/// 3,200 storage nodes, the maximum in "A Fixed Test for All Future Versions of the Gateway", takes 419,200
+/// bytes if its entries are as long as those of the Protocol page's example.
 const MAX_LIST_LEN: usize = 4 * 1024 * 1024;
 
-/// How long the watch of one of many gateways waits. Watches begin together with each change and may stop
-/// responding together; different waits have them time out, and be reopened, one by one.
+/// Returns the time for which this gateway's watches wait for changes. `gateway_index` counts from 0.
+///
+/// Each change restarts the watches of all gateways together, and discovery may stop responding to all of
+/// them together. Different waits let the watches time out, and be reopened, one after the other.
 pub fn watch_wait(gateway_index: usize, gateway_count: usize) -> Duration {
     let position = gateway_index.min(gateway_count) as f64 / gateway_count.max(1) as f64;
     MAX_WATCH_WAIT.saturating_sub(WATCH_WAIT_SPREAD.mul_f64(position))
 }
 
-/// Why a poll brought no endpoint list.
+/// Why a poll returned no endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum PollError {
-    /// A watch got no answer in all the time that it may take.
-    #[error("the watch timed out")]
+    /// A watch received no complete response within its wait plus [`CALL_TIMEOUT`].
+    #[error("watch of the endpoint list timed out")]
     WatchTimedOut,
-    /// Discovery rejected the call, broke it off, or answered with something else than a list.
-    #[error("the call failed")]
+    /// Discovery could not be reached, rejected the call or did not send a complete and valid list, or a
+    /// request for the complete list timed out.
+    #[error("call to discovery failed")]
     CallFailed,
 }
 
-/// Why one request to discovery brought no body to decode.
+/// Why a request to discovery returned no body to decode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchError {
-    /// No connection could be opened, or it brought no response.
-    ConnectionBroke,
-    /// There was a response, but its status is not 200 or its body broke off or is too long.
+    /// No connection could be established, or it failed before a response was received.
+    ConnectionFailed,
+    /// The status of the response is not 200, or its body is incomplete or longer than [`MAX_LIST_LEN`].
     NotAList,
 }
 
-/// The state of a watch on discovery, from its first poll until one fails.
+/// The state of a sequence of polls, which ends when a poll fails.
 #[derive(Default)]
 struct WatchSession {
-    /// The connection of the last poll, if the answer came complete.
-    connection: Option<NodeConnection>,
-    /// The last poll timed out; another that times out ends the session.
+    /// The connection of the last poll, for reuse; `None` if that poll received no complete response.
+    idle_connection: Option<NodeConnection>,
+    /// Whether the last poll was a watch that timed out. A second timeout in a row ends the session.
     timed_out: bool,
 }
 
-/// The actor that polls discovery and passes endpoint lists on to the router.
+/// The actor that polls discovery and forwards endpoint lists to the node registry and the router.
 pub struct EndpointWatcher<P, R> {
-    /// Where discovery listens; it may move.
+    /// The address of discovery, which a reload of the configuration may change.
     pub discovery_address: watch::Receiver<SocketAddr>,
-    /// How long a watch waits for changes.
+    /// Time for which a watch waits for changes, from [`watch_wait`].
     pub watch_wait: Duration,
-    /// The endpoint list that was known before the start.
+    /// The endpoint list known before the gateway started, which discovery has not confirmed; `None` if there
+    /// is none.
     pub cached_list: Option<EndpointList>,
-    /// The connection pools of the nodes that the lists name.
+    /// The registry to which the lists are applied, with the connection pools of the nodes.
     pub nodes: NodeRegistry,
-    /// The router.
+    /// Receives the endpoint lists and the failures of polls.
     pub router: RouterHandle<P, R>,
-    /// The counters.
+    /// Counts calls, failed calls, malformed lists and list entries.
     pub metrics: Rc<GatewayMetrics>,
 }
 
 impl<P, R> EndpointWatcher<P, R> {
-    /// Publishes the cached list, then watches discovery whenever the router requests it, until a call
-    /// fails: when to call again is for the scheduler to decide.
+    /// Publishes the cached list, then polls discovery whenever the router requests a watch or discovery's
+    /// address changes. Polls repeatedly until a call fails, and then waits for the next request: the
+    /// scheduler decides when to call again.
+    ///
+    /// Returns when `watch_requests` is closed.
     pub async fn run(self, mut watch_requests: mpsc::UnboundedReceiver<()>) {
         let mut version = self.publish_cached_list();
         let mut address_changes = self.discovery_address.clone();
@@ -92,14 +100,15 @@
                 Ok(()) = address_changes.changed() => {}
             }
             self.watch_until_failure(&mut version, &mut address_changes).await;
-            // A watch requested meanwhile would go out at once, against the rule on the pause between
-            // polls.
+            // Discards watch requests that arrived meanwhile. They would be sent at once, which would violate
+            // the platform's rule on the pause between polls.
             while watch_requests.try_recv().is_ok() {}
             self.router.endpoints_updated(EndpointUpdate::PollFailed);
         }
     }
 
-    /// Publishes the list that was known before the start; returns its version.
+    /// Publishes the endpoint list known before the start, or an empty one if there is none. Returns the
+    /// version of the list.
     fn publish_cached_list(&self) -> Option<u64> {
         let endpoints = self.cached_list.as_ref().map_or(&[][..], |list| &list.endpoints);
         let endpoints = self.nodes.apply(ListKind::Snapshot, endpoints);
@@ -107,11 +116,13 @@
         self.cached_list.as_ref().map(|list| list.version)
     }
 
-    /// Polls again after each answer, until a call fails.
+    /// Polls discovery again after each response, until a call fails.
+    ///
+    /// If discovery's address changes, the watch is reopened at the new address at once, because the old
+    /// address may keep the call open without ever responding.
     ///
-    /// If discovery moves, reopens the watch at the new address at once: the old one may keep the call open
-    /// without ever answering. A watch that times out is also reopened at once, because changes that it
-    /// missed are about to take effect. The scheduler is notified of the timeout, as they may already have.
+    /// A watch that times out is also reopened at once, because changes that it missed are about to take
+    /// effect. They may already have taken effect, so the timeout is reported to the scheduler.
     async fn watch_until_failure(
         &self,
         version: &mut Option<u64>,
@@ -120,9 +131,9 @@
         let mut session = WatchSession::default();
         loop {
             let polled = tokio::select! {
-                polled = self.poll(&mut session.connection, *version) => polled,
+                polled = self.poll(&mut session.idle_connection, *version) => polled,
                 Ok(()) = address_changes.changed() => {
-                    session.connection = None;
+                    session.idle_connection = None;
                     continue;
                 }
             };
@@ -149,18 +160,18 @@
         });
     }
 
-    /// Makes one call: a watch for what is newer than this version, or a request for the complete list if no
-    /// version is known.
+    /// Makes one call to discovery: a watch for changes after `version`, or a request for the complete list if
+    /// `version` is `None`.
     async fn poll(
         &self,
-        connection: &mut Option<NodeConnection>,
+        idle_connection: &mut Option<NodeConnection>,
         version: Option<u64>,
     ) -> Result<EndpointList, PollError> {
         self.metrics.list_calls.increment();
         let timeout = if version.is_some() { self.watch_wait + CALL_TIMEOUT } else { CALL_TIMEOUT };
-        match tokio::time::timeout(timeout, self.fetch_list(connection, version)).await {
+        match tokio::time::timeout(timeout, self.fetch_list(idle_connection, version)).await {
             Ok(Ok(body)) => self.decode_list(&body),
-            Ok(Err(FetchError::ConnectionBroke | FetchError::NotAList)) => {
+            Ok(Err(FetchError::ConnectionFailed | FetchError::NotAList)) => {
                 self.metrics.list_failures.increment();
                 Err(PollError::CallFailed)
             }
@@ -181,51 +192,53 @@
             Err(error) => {
                 self.metrics.list_malformed.increment();
                 log::write(format_args!(
-                    "malformed endpoint list, the previous one stays in effect: {error}"
+                    "discovery sent a malformed endpoint list; the previous list stays in effect: {error}"
                 ));
                 Err(PollError::CallFailed)
             }
         }
     }
 
-    /// The body of discovery's answer.
+    /// Returns the body of discovery's response. Reuses `idle_connection` if possible.
     async fn fetch_list(
         &self,
-        connection: &mut Option<NodeConnection>,
+        idle_connection: &mut Option<NodeConnection>,
         version: Option<u64>,
     ) -> Result<Bytes, FetchError> {
         let address = *self.discovery_address.borrow();
-        // A reused connection that breaks does not mean that discovery is down: it may have been closed just
-        // when the request was written to it. A new one will show.
-        if let Some(reused) = connection.take().filter(NodeConnection::is_reusable) {
-            let fetched = self.request_list(reused, connection, address, version).await;
-            if fetched != Err(FetchError::ConnectionBroke) {
+        // The failure of a reused connection does not mean that discovery is down: discovery may have closed
+        // the connection while the request was being written. The request is repeated on a new connection.
+        if let Some(reused) = idle_connection.take().filter(NodeConnection::is_reusable) {
+            let fetched = self.request_list(reused, idle_connection, address, version).await;
+            if fetched != Err(FetchError::ConnectionFailed) {
                 return fetched;
             }
         }
-        // A machine that is cut off accepts no connection either: that must not take a watch's time.
+        // An unreachable machine accepts no connection. Without this timeout, connecting to it could take as
+        // long as a watch.
         let connecting = tokio::time::timeout(CALL_TIMEOUT, NodeConnection::connect(address));
-        let Ok(Ok(new)) = connecting.await else { return Err(FetchError::ConnectionBroke) };
-        self.request_list(new, connection, address, version).await
+        let Ok(Ok(connection)) = connecting.await else { return Err(FetchError::ConnectionFailed) };
+        self.request_list(connection, idle_connection, address, version).await
     }
 
-    /// One exchange on `open`, which goes back to `connection` if the answer came complete.
+    /// Sends one request on `connection` and returns the body of the response. Stores the connection in
+    /// `idle_connection` if a complete response with status 200 was received.
     async fn request_list(
         &self,
-        mut open: NodeConnection,
-        connection: &mut Option<NodeConnection>,
+        mut connection: NodeConnection,
+        idle_connection: &mut Option<NodeConnection>,
         address: SocketAddr,
         version: Option<u64>,
     ) -> Result<Bytes, FetchError> {
         let request = endpoint_list::watch_request(address, version, self.watch_wait);
-        let response = open.send_request(request).await.map_err(|_| FetchError::ConnectionBroke)?;
+        let response = connection.send_request(request).await.map_err(|_| FetchError::ConnectionFailed)?;
         if response.status() != hyper::StatusCode::OK {
             return Err(FetchError::NotAList);
         }
         let Ok(body) = Limited::new(response.into_body(), MAX_LIST_LEN).collect().await else {
             return Err(FetchError::NotAList);
         };
-        *connection = Some(open);
+        *idle_connection = Some(connection);
         Ok(body.to_bytes())
     }
 }
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -1,5 +1,5 @@
-//! What the front ends have in common: answering requests, health checks, bodies of requests, and the margin for the way
-//! back.
+//! Code that the front ends share: the [`Frontend`] trait, health checks, reading of request bodies, and the
+//! margin for sending a response.
 
 use crate::protocol::health;
 use crate::transport::{LifecyclePhase, RequestContext, ResponseBody};
@@ -11,30 +11,32 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout_at};
 
-/// Answers the requests of one listener.
+/// Serves the requests of one listener.
 pub trait Frontend {
-    /// Answers one request.
+    /// Handles one request and returns the response to send. Errors are converted to responses as well.
     async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody>;
 }
 
-/// Subtracted from a client's time for the way back and for this event loop's own delay, in microseconds.
+/// Time that is subtracted from a client's deadline, in microseconds. It covers the transfer of the response
+/// and delays of the gateway's event loop.
 pub const RESPONSE_MARGIN_US: u64 = 10_000;
 
-/// The answer to a health check.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// The program runs.
+    /// Result of the liveness check: the process is running.
     Alive,
-    /// The program serves requests.
+    /// Result of the readiness check while the gateway serves requests.
     Ready,
-    /// The program is shutting down.
+    /// Result of the readiness check once a shutdown has been requested.
     Stopping,
 }
 
 impl HealthStatus {
-    /// The answer to a request for this path; none if that is no health check.
+    /// Returns the result of the health check at `path`; `None` if `path` is not that of a health check.
     ///
-    /// A front end exists only once the router has the first endpoint list, so it is ready from its start.
+    /// The router receives the first endpoint list before the front end serves its first request, so a front
+    /// end is ready from its start.
     pub fn for_path(path: &str, phase: &watch::Receiver<LifecyclePhase>) -> Option<Self> {
         match path {
             health::LIVENESS_PATH => Some(HealthStatus::Alive),
@@ -44,7 +46,7 @@
         }
     }
 
-    /// The body of the answer.
+    /// Returns the body of the response to the health check.
     pub fn text(self) -> &'static str {
         match self {
             HealthStatus::Alive => "alive\n",
@@ -54,24 +56,26 @@
     }
 }
 
-/// Why the body of a request could not be read.
+/// Reasons why the body of a request cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     TooLong,
-    /// The connection broke, or the body is malformed.
+    /// The connection failed before the body was complete, or the body is malformed.
     Incomplete,
-    /// It was not complete in time.
+    /// The body was not complete by the deadline.
     TimedOut,
 }
 
-/// Reads the body of a request completely. The deadline guards against clients that stop halfway and would
-/// occupy their connection indefinitely.
+/// Reads the body of a request completely.
+///
+/// The deadline guards against clients that stop sending halfway and would occupy their connection
+/// indefinitely.
 ///
 /// # Errors
 ///
-/// Returns an error if the body is longer than `max_len` bytes, breaks off, or is not complete by the
-/// deadline.
+/// Returns an error if the body is longer than `max_len` bytes, incomplete or malformed, or if it is not
+/// complete by the deadline.
 pub async fn read_body(body: Incoming, max_len: usize, deadline: Instant) -> Result<Bytes, BodyError> {
     match timeout_at(deadline, Limited::new(body, max_len).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -81,7 +85,8 @@
     }
 }
 
-/// States that a bearer token is needed, as HTTP requires of every response with status 401.
+/// Adds the `WWW-Authenticate` header that asks for a bearer token. HTTP requires this header in every
+/// response with status 401.
 pub fn add_bearer_challenge(headers: &mut HeaderMap) {
     headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
 }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,29 +1,31 @@
-//! The gateway's counters, which the administration API and the log give out.
+//! The gateway's counters, which the administration API and the log report.
 
 use super::log;
 use crate::routing::{Counter, RequestMetrics};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the gateway counts, beside what its router counts.
+/// Counts of the gateway, including those of its router.
 #[derive(Debug, Default)]
 pub struct GatewayMetrics {
-    /// The router's counters.
+    /// Counts of the requests and attempts that the router handled.
     pub requests: Rc<RequestMetrics>,
-    /// Requests rejected as malformed, unauthorized, duplicate or with an incomplete body. The object API
-    /// does not count unknown buckets and uploads, a missing Content-Length, or a malformed Req-Deadline.
+    /// Requests rejected because they are malformed, unauthorized or duplicates, or have an incomplete body.
+    /// Requests to the object API with an unknown bucket or upload, without `Content-Length`, or with a
+    /// malformed `Req-Deadline` are not counted.
     pub bad_requests: Counter,
-    /// Bodies that were too large.
+    /// Requests rejected because their body is too large.
     pub bodies_too_large: Counter,
-    /// Requests rejected for want of descriptors or buffer memory.
+    /// Requests rejected because too many connections are open, which the limit on file descriptors
+    /// determines, or because too much memory is reserved for bodies.
     pub overload: Counter,
-    /// Polls and watches of the endpoint list.
+    /// Calls to discovery: polls and watches of the endpoint list.
     pub list_calls: Counter,
-    /// Those that failed.
+    /// Calls to discovery that failed or timed out, without those that returned a malformed list.
     pub list_failures: Counter,
-    /// Endpoint lists that could not be decoded; the previous one stayed in effect.
+    /// Endpoint lists that could not be decoded; the previous list stayed in effect.
     pub list_malformed: Counter,
-    /// Endpoints that the lists named, in all.
+    /// Total number of entries in all endpoint lists received from discovery.
     pub list_entries: Counter,
     /// SIGHUP reloads that took effect.
     pub reloads: Counter,
@@ -32,7 +34,7 @@
 }
 
 impl GatewayMetrics {
-    /// All counters by the names that the administration API and the log give them.
+    /// Returns all counters by the names under which the administration API and the log report them.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
         let mut all = self.requests.by_name();
         all.extend([
@@ -49,7 +51,7 @@
         all
     }
 
-    /// Writes all counters to the log, in one line.
+    /// Writes all counters to the log, on one line.
     pub fn log(&self) {
         let fields: Vec<String> =
             self.by_name().iter().map(|(name, value)| format!("{name}={value}")).collect();
--- a/src/gateway/node_registry.rs
+++ b/src/gateway/node_registry.rs
@@ -1,4 +1,4 @@
-//! The storage nodes that the endpoint list has named, each with its connection pool.
+//! Registry of the storage nodes in the endpoint list and their connection pools.
 
 use crate::protocol::endpoint_list::{EndpointRecord, ListKind};
 use crate::scheduler::{Endpoint, EndpointState, NodeId};
@@ -35,28 +35,29 @@
     }
 }
 
-/// The storage nodes that the endpoint list has named, each with its connection pool. Clones share one
-/// registry.
+/// The storage nodes in the endpoint list, each with a connection pool. Clones share one registry.
 #[derive(Clone)]
 pub struct NodeRegistry {
     limits: PoolLimits,
-    zones: Rc<Vec<String>>,
+    zone_names: Rc<Vec<String>>,
     nodes: Rc<RefCell<FxHashMap<NodeId, RegisteredNode>>>,
 }
 
 impl NodeRegistry {
-    /// An empty registry. Zones get the numbers of these names.
-    pub fn new(limits: PoolLimits, zones: Vec<String>) -> Self {
-        NodeRegistry { limits, zones: Rc::new(zones), nodes: Rc::default() }
+    /// Creates an empty registry. `limits` apply to the pools of all nodes. The number of a zone is the position
+    /// of its name in `zone_names`.
+    pub fn new(limits: PoolLimits, zone_names: Vec<String>) -> Self {
+        NodeRegistry { limits, zone_names: Rc::new(zone_names), nodes: Rc::default() }
     }
 
-    /// The connection pool of a node, if the endpoint list names it.
+    /// Returns the connection pool of a node; `None` if the node is not in the registry.
     pub fn pool(&self, node: &NodeId) -> Option<ConnectionPool> {
         self.nodes.borrow().get(node).map(|node| node.pool.clone())
     }
 
-    /// Applies an endpoint list or changes to it; returns the endpoints that the scheduler is to be notified
-    /// of.
+    /// Applies a complete endpoint list or a list of changes. Starts the pools of new nodes, updates the
+    /// pools of nodes that moved or restarted, and drops the pools of removed nodes. Returns the records,
+    /// converted for the scheduler.
     pub fn apply(&self, kind: ListKind, records: &[EndpointRecord]) -> Vec<Endpoint> {
         let mut nodes = self.nodes.borrow_mut();
         for record in records {
@@ -68,16 +69,18 @@
                 }
             }
         }
-        // The scheduler may still send to a node that has just started to drain, for as long as the rules
-        // allow. One that a snapshot no longer names, or that is removed, is not sent to any more, and its
-        // pool ends.
-        let named = |id: &NodeId| records.iter().find(|record| *record.name == **id);
+        // A draining node keeps its pool, because the platform's rules allow the scheduler to send it attempts
+        // for a while. A node that is removed, or that a snapshot does not contain, receives no more attempts,
+        // so its pool is dropped.
+        let find_record = |id: &NodeId| records.iter().find(|record| *record.name == **id);
         match kind {
-            ListKind::Snapshot => nodes.retain(|id, _| named(id).is_some()),
+            ListKind::Snapshot => nodes.retain(|id, _| find_record(id).is_some()),
             ListKind::Delta => {
-                nodes.retain(|id, _| named(id).is_none_or(|record| record.state != EndpointState::Removed));
+                nodes.retain(|id, _| {
+                    find_record(id).is_none_or(|record| record.state != EndpointState::Removed)
+                });
             }
         }
-        records.iter().map(|record| record.to_endpoint(&self.zones)).collect()
+        records.iter().map(|record| record.to_endpoint(&self.zone_names)).collect()
     }
 }
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -1,4 +1,4 @@
-//! The path of an attempt from the router to a storage node and back, which both front ends share.
+//! Sends attempts to storage nodes and reports their results to the router, for both front ends.
 
 use super::node_registry::NodeRegistry;
 use crate::protocol::node_response::{self, NodeResponseHead};
@@ -12,38 +12,41 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a front end submits with a request: how its protocol writes the request to a storage node and reads
-/// the response.
+/// The payload that a front end submits with a request. Encodes the request to a storage node and evaluates
+/// the response according to the front end's protocol.
 pub trait AttemptPayload: 'static {
-    /// What the front end gets of a storage node's response.
+    /// The form in which the front end receives a storage node's response.
     type Response: 'static;
 
-    /// The request for one attempt, which may take this long.
+    /// Encodes the request for one attempt. `time_left` is the time until the attempt's deadline.
     fn encode(&self, time_left: Duration) -> Request<Full<Bytes>>;
 
-    /// Whether the head of a response shows that the storage node served the request.
+    /// Returns whether the head of a response shows that the storage node served the request.
     fn accepts_response(&self, status: StatusCode, headers: &HeaderMap) -> bool;
 
-    /// A response that has been read completely.
+    /// Converts a response that has been read completely.
     fn complete_response(response: Response<Bytes>) -> Self::Response;
 
-    /// A response whose body follows; none in a protocol whose [`ResponsePolicy`] streams nothing.
+    /// Converts a response whose body is streamed. Returns `None`, the default, in a protocol whose
+    /// [`ResponsePolicy`] streams no response.
     fn streamed_response(_response: Response<StreamedBody>) -> Option<Self::Response> {
         None
     }
 }
 
-/// How long and how large a storage node's response may be, and whether it is streamed.
+/// Limits on a storage node's response, and the rule by which it is streamed.
 pub struct ResponsePolicy {
-    /// A response that has begun is malformed once nothing more of it has arrived for this time.
+    /// Duration after which a response that has begun counts as stalled if nothing more of it arrives; see
+    /// [`Exchange::stall_timeout`].
     pub stall_timeout: Duration,
-    /// The longest body that is read completely, in bytes.
+    /// Maximum length of a body that is read completely, in bytes.
     pub max_body_len: usize,
-    /// Which responses are streamed.
+    /// Decides which responses are streamed.
     pub streaming: StreamingRule,
 }
 
-/// Starts an attempt at its storage node; its end is reported to the router.
+/// Sends an attempt to its storage node. The end of the attempt is reported to `router`, as
+/// [`AttemptOutcome::ConnectFailed`] if the node is no longer in the registry.
 pub fn start_attempt<P: AttemptPayload>(
     router: &RouterHandle<P, P::Response>,
     nodes: &NodeRegistry,
@@ -82,14 +85,14 @@
     }
 }
 
-/// Reports what becomes of one attempt to the router.
+/// Reports the response and the end of one attempt to the router.
 struct AttemptReporter<P: AttemptPayload> {
     router: RouterHandle<P, P::Response>,
     request: RequestId,
     /// The attempt's index among the request's attempts, from 0.
     index: u32,
     payload: Rc<P>,
-    /// The head of a response whose body is being streamed.
+    /// The head of a response whose body is being streamed; `None` if no stream has started.
     streamed_head: Option<NodeResponseHead>,
 }
 
@@ -105,7 +108,7 @@
                 Some(head) => result_with_head(head, None),
                 None => AttemptResult::without_response(AttemptOutcome::Succeeded),
             },
-            ExchangeEvent::Failed(failure) => AttemptResult::without_response(outcome_of(failure)),
+            ExchangeEvent::Failed(failure) => AttemptResult::without_response(outcome_of_failure(failure)),
         };
         self.router.attempt_ended(self.request, self.index, result);
     }
@@ -125,19 +128,19 @@
     }
 }
 
-/// The result of an attempt to which the storage node responded.
+/// Returns the result of an attempt to which the storage node responded.
 fn result_with_head<R>(head: NodeResponseHead, response: Option<R>) -> AttemptResult<R> {
     let NodeResponseHead { outcome, volume_rate_percent, units_via_other_gateways, load } = head;
     AttemptResult { outcome, response, volume_rate_percent, units_via_other_gateways, load }
 }
 
-/// The outcome of an attempt whose exchange brought no complete response.
-fn outcome_of(failure: ExchangeFailure) -> AttemptOutcome {
+/// Returns the outcome of an attempt whose exchange failed.
+fn outcome_of_failure(failure: ExchangeFailure) -> AttemptOutcome {
     match failure {
         ExchangeFailure::DescriptorsExhausted | ExchangeFailure::NotStarted => AttemptOutcome::NotSent,
         ExchangeFailure::NotDelivered => AttemptOutcome::ConnectFailed,
         ExchangeFailure::ConnectionReset => AttemptOutcome::ConnectionReset,
-        // The node itself is healthy: it responded.
+        // The node responded, so the node itself is healthy: only this response is unusable.
         ExchangeFailure::MalformedResponse => AttemptOutcome::Failed,
         ExchangeFailure::TimedOut => AttemptOutcome::TimedOut,
         ExchangeFailure::Cancelled => AttemptOutcome::Cancelled,
--- a/src/gateway/object_limits.rs
+++ b/src/gateway/object_limits.rs
@@ -1,59 +1,59 @@
-//! The limits of the object API, and its request classes.
+//! Limits and request classes of the object API.
 
 use crate::protocol::object::Operation;
 use crate::scheduler::ClassIndex;
 use std::time::Duration;
 
-/// Bytes to a permit of the memory for bodies.
+/// Number of bytes for which one permit of the semaphore for body memory stands.
 pub const BYTES_PER_MEMORY_PERMIT: u64 = 1024;
-/// What is reserved for a body beside its own bytes, at most, in bytes: one permit.
+/// Maximum memory that is reserved for a body in addition to its length, in bytes: one permit.
 pub const BODY_MEMORY_OVERHEAD: u64 = BYTES_PER_MEMORY_PERMIT;
 
-/// The classes of the object API's requests; the scheduler's settings list them in this order.
+/// Request classes of the object API, in the order of the classes in the scheduler's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectClass {
-    /// Requests that change nothing.
+    /// Requests that do not change any object or upload.
     Read = 0,
     /// Requests that change an object or an upload.
     Write = 1,
 }
 
 impl ObjectClass {
-    /// The class of requests for this operation.
+    /// Returns the class of requests for this operation.
     pub fn of(operation: &Operation) -> Self {
         if operation.writes() { ObjectClass::Write } else { ObjectClass::Read }
     }
 
-    /// The class's number in the scheduler's settings.
+    /// Returns the index of the class in the scheduler's settings.
     pub fn index(self) -> ClassIndex {
         ClassIndex(self as usize)
     }
 }
 
-/// The limits of the object front end.
+/// Limits of the object front end, from the operator's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectLimits {
-    /// The longest body of a request, in bytes.
+    /// Maximum length of a request's body, in bytes. Longer bodies are rejected.
     pub max_body_len: u64,
-    /// The longest response, in bytes, that is read completely before the client gets any of it, so that a
-    /// failed attempt can be retried.
+    /// Maximum length of an object's data, in bytes, that is read completely before any of it is sent to the
+    /// client, so that a failed attempt can be retried. Longer data is streamed.
     pub response_buffer_len: u64,
-    /// A response has stalled once nothing of it has arrived for this time.
+    /// Duration after which a response that has begun counts as stalled if nothing more of it arrives.
     pub stall_timeout: Duration,
-    /// Bytes to a unit of the scheduler.
+    /// Number of bytes per unit of request size in the scheduler.
     pub unit_len: u64,
-    /// The maximum number of units that a request counts for.
+    /// Maximum size of a request, in units. Larger requests count as this many units.
     pub max_units: u64,
-    /// How many gateways serve the tenants.
+    /// Number of gateways that receive the tenants' requests.
     pub gateway_count: usize,
-    /// How long clients wait for reads, in microseconds.
+    /// Time for which clients wait for reads, in microseconds. A client can only state a shorter time.
     pub read_deadline_us: u64,
-    /// How long clients wait for writes, in microseconds.
+    /// Time for which clients wait for writes, in microseconds. A client can only state a shorter time.
     pub write_deadline_us: u64,
 }
 
 impl ObjectLimits {
-    /// How long this class's clients wait, in microseconds.
+    /// Returns the time for which clients wait for requests of this class, in microseconds.
     pub fn deadline_us(&self, class: ObjectClass) -> u64 {
         match class {
             ObjectClass::Read => self.read_deadline_us,
--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -49,10 +49,10 @@
 }
 
 impl EndpointRecord {
-    /// Converts the record for the scheduler. The zone's number is the position of its name in `zones`; a
-    /// zone that is not in `zones` gets the number after the last.
-    pub fn to_endpoint(&self, zones: &[String]) -> Endpoint {
-        let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
+    /// Converts the record for the scheduler. The zone's number is the position of its name in `zone_names`;
+    /// a zone that is not in `zone_names` gets the number after the last.
+    pub fn to_endpoint(&self, zone_names: &[String]) -> Endpoint {
+        let zone = zone_names.iter().position(|zone| *zone == self.zone).unwrap_or(zone_names.len());
         Endpoint {
             node: self.name.as_str().into(),
             zone: ZoneId(zone as u32),
