--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, and the memory that bodies of requests and responses may occupy in all.
+//! Reads request bodies, and limits the memory for the bodies of all requests and responses.
 
 use super::{ObjectFrontend, Rejection};
 use crate::gateway::frontend::{BodyError, read_body};
@@ -12,25 +12,26 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// How long a client may take over a body.
+/// Maximum duration for reading the body of a request.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The memory that bodies may occupy in all.
+/// Limits the total memory that the bodies of requests and responses occupy. A semaphore permit represents
+/// [`BYTES_PER_MEMORY_PERMIT`] bytes.
 pub struct BodyMemory(Arc<Semaphore>);
 
-/// Memory reserved for the bodies of one request, until the last clone is dropped.
+/// A reservation of memory for the bodies of one request. It ends when the last clone is dropped.
 #[derive(Clone)]
 pub struct BodyPermit {
     _permit: Arc<OwnedSemaphorePermit>,
 }
 
 impl BodyMemory {
-    /// Memory of this many bytes.
+    /// Creates a limit of `bytes`, rounded down to a multiple of [`BYTES_PER_MEMORY_PERMIT`].
     pub fn new(bytes: u64) -> Self {
         BodyMemory(Arc::new(Semaphore::new((bytes / BYTES_PER_MEMORY_PERMIT) as usize)))
     }
 
-    /// Reserves so many bytes, if they are free.
+    /// Reserves at least `bytes` bytes; returns `None` if less memory is available.
     fn try_reserve(&self, bytes: u64) -> Option<BodyPermit> {
         let permits = u32::try_from(bytes / BYTES_PER_MEMORY_PERMIT + 1).unwrap_or(u32::MAX);
         let permit = self.0.clone().try_acquire_many_owned(permits).ok()?;
@@ -39,7 +40,8 @@
 }
 
 impl ObjectFrontend {
-    /// Reserves memory for the bodies of a request and of its response.
+    /// Reserves memory for the body of a request, or for the response if the operation has no request body.
+    /// Rejects the request if its body is too large or less memory is available.
     pub(super) fn reserve_memory(&self, request: &ObjectRequest) -> Result<BodyPermit, Rejection> {
         let bytes = if request.operation.has_body() {
             self.request_body_len(request)?
@@ -61,7 +63,8 @@
         Ok(length)
     }
 
-    /// Reads the body of a request, which must be as long as the request states.
+    /// Reads the body of a request. Rejects the request if the body is not as long as the request states, or
+    /// not complete within [`BODY_READ_TIMEOUT`].
     pub(super) async fn read_request_body(
         &self,
         request: &ObjectRequest,
@@ -75,7 +78,8 @@
     }
 }
 
-/// How much of a response may be read completely before the client gets any of it, in bytes.
+/// Returns the number of bytes to reserve for a response: the maximum length of an object's data that is read
+/// completely before any of it is sent to the client; 0 for responses without an object's data.
 fn buffered_response_len(request: &ObjectRequest, limits: &ObjectLimits) -> u64 {
     match &request.operation {
         Operation::Read { head_only: false, range } => range
--- a/src/gateway/object_frontend/idempotency.rs
+++ b/src/gateway/object_frontend/idempotency.rs
@@ -1,4 +1,4 @@
-//! The idempotency key of a write.
+//! Computes the idempotency keys of writes.
 
 use super::routed_request::RoutedRequest;
 use crate::gateway::hashing::hash_fields;
@@ -6,12 +6,14 @@
 use crate::protocol::object::Operation;
 use bytes::Bytes;
 
-/// Bytes of the hash that make a key.
+/// Length of a key, in bytes of the hash that it is taken from.
 const KEY_LEN: usize = 16;
 
-/// The key by which the storage nodes of a rack recognize a repeated write. Storing a part and completing an
-/// upload are the same write however often a client sends them; of all else only the client can say so, by a
-/// key of its own.
+/// Returns the key by which the storage nodes of a rack recognize a repeated write.
+///
+/// If a client repeats a request to store a part or to complete an upload, both requests are the same write
+/// and have the same key. For other operations only the client can declare requests to be the same write, by
+/// sending an idempotency key of its own; without one, each request has a different key.
 pub(super) fn idempotency_key(routed: &RoutedRequest, body: &Bytes, request_id: &str) -> String {
     let request = &routed.request;
     let write = describe_write(routed, request_id);
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -1,4 +1,4 @@
-//! What the router gets of a request: its class, size, shard and deadline.
+//! Builds the router's description of a request: its class, size, shard and expiry.
 
 use super::ObjectFrontend;
 use super::routed_request::RoutedRequest;
@@ -12,7 +12,8 @@
 use hyper::HeaderMap;
 
 impl ObjectFrontend {
-    /// What the router gets of a request with this body.
+    /// Returns the description of a request under which it is submitted to the router. `body` is the body that
+    /// is sent to the storage node.
     pub(super) fn incoming_request(
         &self,
         routed: &RoutedRequest,
@@ -34,19 +35,21 @@
         })
     }
 
-    /// When a request must be answered. The time that the client states counts from the request's head;
-    /// without it, the class's time counts from the end of the body.
+    /// Returns the time at which a request expires, on the router's clock. The time that the client states in
+    /// `Req-Deadline` counts from the receipt of the request's head. If the client states none, the class's
+    /// deadline counts from the end of the body. The class's deadline is also the maximum for a stated time.
     fn expires_at_us(&self, class: ObjectClass, routed: &RoutedRequest) -> Result<u64, ApiError> {
         let deadline_us = self.limits.deadline_us(class);
         let stated_timeout_us = client_timeout_us(&routed.headers)?;
-        let by_class_us = self.clock.now_us() + deadline_us;
-        let expires_at_us = stated_timeout_us.map_or(by_class_us, |timeout_us| {
-            by_class_us.min(routed.received_at_us + timeout_us.min(deadline_us))
+        let class_expiry_us = self.clock.now_us() + deadline_us;
+        let expires_at_us = stated_timeout_us.map_or(class_expiry_us, |timeout_us| {
+            class_expiry_us.min(routed.received_at_us + timeout_us.min(deadline_us))
         });
         Ok(expires_at_us - RESPONSE_MARGIN_US)
     }
 
-    /// The size of a request in the scheduler's units, by the range that it reads or by its body.
+    /// Returns the size of a request in the scheduler's units, at least 1. It depends on the length of the
+    /// requested range, or on the length of the body if no range is requested.
     fn units(&self, request: &ObjectRequest, body: &Bytes) -> u64 {
         let length = match &request.operation {
             Operation::Read { range: Some(range), .. } => range.max_len().unwrap_or(self.limits.unit_len),
@@ -61,7 +64,8 @@
     hash.first_chunk().map_or(0, |first: &[u8; 8]| u64::from_be_bytes(*first))
 }
 
-/// How long the client says that it waits, in microseconds.
+/// Returns the time for which the client waits, in microseconds, from the `Req-Deadline` header; `None` if the
+/// request has no such header.
 fn client_timeout_us(headers: &HeaderMap) -> Result<Option<u64>, ApiError> {
     let Some(value) = headers.get(DEADLINE) else { return Ok(None) };
     match value.to_str().ok().and_then(parse_timeout) {
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The front end for the object API: from a client's request to its response.
+//! Front end for the object API: authorizes clients' requests, submits them to the router and responds.
 
 mod body;
 mod idempotency;
@@ -29,48 +29,48 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// The front end for the object API.
+/// Front end for the object API.
 pub struct ObjectFrontend {
-    /// Where requests are submitted.
+    /// Handle to the router, to which requests are submitted.
     pub router: RouterHandle<ObjectPayload, NodeResponse>,
-    /// The router's clock.
+    /// The router's clock, on which the expiry of requests is given.
     pub clock: Clock,
-    /// The tenants.
+    /// The tenants, by whose bearer tokens requests are authorized.
     pub tenants: TenantRegistry,
-    /// The racks, numbered as the scheduler's shards.
+    /// Maps the names of racks to the scheduler's shards.
     pub racks: RackRegistry,
-    /// Signs upload ids.
+    /// Secret key that signs and verifies upload ids.
     pub upload_key: UploadKey,
-    /// The limits.
+    /// Limits on the size and duration of requests and responses.
     pub limits: ObjectLimits,
-    /// The memory that bodies may occupy.
+    /// Limits the memory that the bodies of all requests and responses occupy.
     pub memory: BodyMemory,
-    /// The counters.
+    /// Counts rejected requests.
     pub metrics: Rc<GatewayMetrics>,
-    /// Whether the program still serves.
+    /// Phase of the graceful shutdown, which the readiness check reports.
     pub phase: watch::Receiver<LifecyclePhase>,
-    /// The next request's id.
+    /// Number from which the id of the next request is made; wraps around after `u64::MAX`.
     pub next_request_id: Cell<u64>,
 }
 
 impl Frontend for ObjectFrontend {
     async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
-        let request_id = self.take_request_id();
+        let request_id = self.generate_request_id();
         let head_only = request.method() == Method::HEAD;
         let resource = request.uri().path().to_string();
-        let served = match HealthStatus::for_path(&resource, &self.phase) {
+        let result = match HealthStatus::for_path(&resource, &self.phase) {
             Some(health) => health_response(health),
             None => self.serve(request, context.admission, &request_id).await,
         };
         let mut response =
-            served.unwrap_or_else(|rejection| rejection.into_response(head_only, &resource, &request_id));
+            result.unwrap_or_else(|rejection| rejection.into_response(head_only, &resource, &request_id));
         response.headers_mut().insert("x-amz-request-id", header_value(request_id));
         response
     }
 }
 
 impl ObjectFrontend {
-    fn take_request_id(&self) -> String {
+    fn generate_request_id(&self) -> String {
         let number = self.next_request_id.get();
         self.next_request_id.set(number.wrapping_add(1));
         format!("{number:016x}")
--- a/src/gateway/object_frontend/response.rs
+++ b/src/gateway/object_frontend/response.rs
@@ -1,4 +1,5 @@
-//! The client's response, made of a storage node's: under the names that the client knows.
+//! Converts a storage node's response to the client's response, with the bucket, key and upload id that the
+//! client uses.
 
 use super::Rejection;
 use super::routed_request::RoutedRequest;
@@ -13,7 +14,8 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 
-/// The client's response from a storage node's response that was read completely.
+/// Converts a storage node's response that was read completely to the client's response. Returns an error if
+/// the node responded with a client error, with an error in place of a completion, or with malformed XML.
 pub(super) fn client_response(
     response: Response<Bytes>,
     routed: RoutedRequest,
@@ -34,7 +36,7 @@
     Ok(response)
 }
 
-/// A storage node's response with those headers that the client gets.
+/// Returns a storage node's response with only the headers that are forwarded to the client.
 pub(super) fn forwarded_response(head: &Parts, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
@@ -61,7 +63,8 @@
     Ok(encode_initiation_result(&request.bucket, &request.key, &id))
 }
 
-/// S3 may begin a completion with status 200 and end it with an error.
+/// Returns the body of the client's response to a completed upload. S3 may send status 200 before the
+/// completion has ended and then report an error in the body; such an error is returned.
 fn completion_body(body: &Bytes, request: &ObjectRequest) -> Result<String, ApiError> {
     let ObjectRequest { bucket, key, .. } = request;
     if let Some(etag) = decode_completion_result(body) {
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -1,4 +1,4 @@
-//! A client's request whose tenant and rack are known, and the request to a storage node that it becomes.
+//! Determines the tenant and rack of a client's request, and builds the request to a storage node.
 
 use super::idempotency::idempotency_key;
 use super::{ObjectFrontend, Rejection};
@@ -13,20 +13,22 @@
 use hyper::http::request::Parts;
 use std::rc::Rc;
 
-/// A client's request whose tenant and rack are known.
+/// A client's request whose tenant and rack have been determined.
 pub(super) struct RoutedRequest {
     pub tenant: Rc<Tenant>,
     pub request: ObjectRequest,
     pub headers: HeaderMap,
-    /// The upload that the request names.
+    /// The verified upload that the request belongs to; `None` for operations without an upload id.
     pub upload: Option<Upload>,
-    /// The rack that holds the object.
+    /// Name of the rack that stores the object.
     pub rack: String,
+    /// Time at which the request's head was received, on the router's clock.
     pub received_at_us: u64,
 }
 
 impl RoutedRequest {
-    /// The request to a storage node.
+    /// Builds the request to a storage node. Returns an error if the body of a request to complete an upload is
+    /// malformed.
     pub fn node_request(&self, body: Bytes, request_id: &str) -> Result<NodeRequest, ApiError> {
         let body = match self.request.operation {
             Operation::CompleteUpload { .. } => {
@@ -49,7 +51,8 @@
 }
 
 impl ObjectFrontend {
-    /// Finds the tenant, the operation and the rack of a request.
+    /// Determines the tenant, the operation and the rack of a request. Returns a rejection if the request is
+    /// not authorized or malformed, or if the bucket or the upload is unknown.
     pub(super) fn route(&self, head: Parts, received_at_us: u64) -> Result<RoutedRequest, Rejection> {
         let tenant = bearer_token(&head.headers)
             .and_then(|token| self.tenants.with_token(token))
@@ -59,7 +62,7 @@
             return Err(ApiError::no_such_bucket().into());
         }
         let upload = self.verify_upload(&tenant, &request)?;
-        // An upload stays on the rack where it began, even if the tenant's racks have changed since.
+        // An upload stays on the rack on which it was started, even if the tenant's racks have changed since.
         let rack = match &upload {
             Some(upload) => upload.rack.clone(),
             None => {
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -1,4 +1,4 @@
-//! Takes the router's attempts to the storage nodes of the object API.
+//! Sends the router's attempts to storage nodes that serve the object API.
 
 use super::body::BodyPermit;
 use crate::gateway::node_registry::NodeRegistry;
@@ -13,21 +13,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest response other than an object's data, in bytes: a full list of parts is well below.
+/// Maximum length of a response other than an object's data, in bytes. A full page of a list of parts is well
+/// below this limit.
 const MAX_METADATA_LEN: usize = 1 << 20;
 
-/// What the front end submits to the router: a request to a storage node, and the memory reserved for its
-/// bodies.
+/// The payload that the front end submits to the router: a request to a storage node, and the memory reserved
+/// for its bodies.
 pub struct ObjectPayload {
     pub(super) request: NodeRequest,
     pub(super) _memory: BodyPermit,
 }
 
-/// A storage node's response.
+/// A storage node's response, as the front end receives it.
 pub enum NodeResponse {
     /// A response that has been read completely.
     Complete(Response<Bytes>),
-    /// A response whose body follows.
+    /// A response whose body is streamed.
     Streamed(Response<StreamedBody>),
 }
 
@@ -51,18 +52,19 @@
     }
 }
 
-/// Takes the router's attempts to the storage nodes.
+/// Sends the router's attempts to the storage nodes.
 pub struct ObjectTransport {
-    /// Where the ends of attempts are reported.
+    /// Handle to the router, to which responses and the ends of attempts are reported.
     pub router: RouterHandle<ObjectPayload, NodeResponse>,
-    /// The storage nodes.
+    /// The storage nodes and their connection pools.
     pub nodes: NodeRegistry,
-    /// The limits.
+    /// Limits on responses: the stall timeout and the maximum length that is buffered.
     pub limits: ObjectLimits,
 }
 
 impl ObjectTransport {
-    /// Long responses with an object's data are streamed.
+    /// Returns the rule for the response to this payload's request. Successful responses with an object's data
+    /// are streamed if they are longer than [`ObjectLimits::response_buffer_len`].
     fn streaming_rule(&self, payload: Rc<ObjectPayload>) -> StreamingRule {
         let may_stream = payload.request.may_stream;
         StreamingRule {
@@ -85,6 +87,7 @@
     }
 
     fn watch_endpoints(&mut self) {
-        // The inventory's actor publishes changes by itself; the scheduler's settings request none.
+        // The inventory's actor publishes changes on its own, and the settings of the object gateway do not
+        // make the scheduler request watches.
     }
 }
--- a/src/gateway/object_limits.rs
+++ b/src/gateway/object_limits.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::ClassIndex;
 use std::time::Duration;
 
-/// Number of bytes for which one permit of the semaphore for body memory stands.
+/// Number of bytes of body memory per permit of the semaphore that limits it.
 pub const BYTES_PER_MEMORY_PERMIT: u64 = 1024;
 /// Maximum memory that is reserved for a body in addition to its length, in bytes: one permit.
 pub const BODY_MEMORY_OVERHEAD: u64 = BYTES_PER_MEMORY_PERMIT;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Limits of the object front end, from the operator's configuration.
+/// Limits that the object front end applies to requests and responses.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectLimits {
     /// Maximum length of a request's body, in bytes. Longer bodies are rejected.
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The front end for the platform's protocol: from a client's request to its response.
+//! Front end for the platform's protocol: decodes clients' requests, submits them to the router and responds.
 
 mod open_request_id;
 mod response;
@@ -26,31 +26,32 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a client may take over a request, from its first byte to its last. By "A Fixed Test for All
-/// Future Versions of the Gateway", a client that stops halfway is owed an error within 3 s.
+/// Maximum duration for receiving a request, from its first byte to its last. According to "A Fixed Test for
+/// All Future Versions of the Gateway", a client that stops sending halfway must receive an error within 3 s.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// The longest time that a client is taken to wait, whatever it states, in microseconds.
+/// Maximum time for which a client is assumed to wait, in microseconds. Longer times in `Req-Deadline` count
+/// as this.
 const MAX_CLIENT_TIMEOUT_US: u64 = 600_000_000;
 
-/// The front end for the platform's protocol.
+/// Front end for the platform's protocol.
 pub struct PlatformFrontend {
-    /// Where requests are submitted.
+    /// Handle to the router, to which requests are submitted.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
-    /// The router's clock.
+    /// The router's clock, on which the expiry of requests is given.
     pub clock: Clock,
-    /// How requests name classes and plans.
+    /// Maps the class and plan names in requests to their indices in the scheduler's settings.
     pub names: NameTable,
-    /// The counters.
+    /// Counts rejected requests.
     pub metrics: Rc<GatewayMetrics>,
-    /// Whether the program still serves.
+    /// Phase of the graceful shutdown, which the readiness check reports.
     pub phase: watch::Receiver<LifecyclePhase>,
-    /// The `Retry-After` of the response if too many connections are open, in microseconds; `None` to send
-    /// none.
+    /// `Retry-After` of the response if too many connections are open, in microseconds; `None` to send no
+    /// `Retry-After`.
     pub overload_retry_after_us: Option<u64>,
-    /// When requests are to be answered during a graceful shutdown.
+    /// States by when all requests must be answered during a graceful shutdown.
     pub shutdown: Rc<ShutdownSchedule>,
-    /// The ids of the requests in progress.
+    /// Ids of the requests in progress, which must be unique.
     pub open_ids: OpenRequestIds,
 }
 
@@ -76,10 +77,10 @@
         let (head, body) = request.into_parts();
         let parsed = client_request::decode(&head, context.conflicting_length, &self.names)
             .map_err(Rejection::Malformed)?;
-        let _open = self.register_id(&head)?;
-        check_stated_len(&body)?;
-        let read_by = context.started_at + REQUEST_READ_TIMEOUT;
-        let body = read_body(body, client_request::MAX_BODY_LEN, read_by).await?;
+        let _open_id = self.register_id(&head)?;
+        check_stated_body_len(&body)?;
+        let read_deadline = context.started_at + REQUEST_READ_TIMEOUT;
+        let body = read_body(body, client_request::MAX_BODY_LEN, read_deadline).await?;
         let incoming = self.incoming_request(&parsed);
         Ok(self.router.submit(incoming, ForwardedRequest { head, body }).await.into())
     }
@@ -107,8 +108,9 @@
         rejection.into_response(self.overload_retry_after_us)
     }
 
-    /// When a request must be answered. Its time counts from its last byte; during a graceful shutdown it has
-    /// no more than that leaves.
+    /// Returns the time at which a request expires, on the router's clock. `client_timeout_us` counts from now,
+    /// when the last byte of the request has been received. During a graceful shutdown, the request expires no
+    /// later than the time by which the shutdown requires all answers.
     fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
         let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
         let until_shutdown_us = match self.shutdown.answer_by() {
@@ -119,8 +121,8 @@
     }
 }
 
-/// Rejects a body that states that it is too large, which is not waited for.
-fn check_stated_len(body: &Incoming) -> Result<(), Rejection> {
+/// Rejects a request whose stated body length exceeds the limit, without waiting for the body.
+fn check_stated_body_len(body: &Incoming) -> Result<(), Rejection> {
     if body.size_hint().lower() > client_request::MAX_BODY_LEN as u64 {
         return Err(Rejection::BodyTooLarge);
     }
--- a/src/gateway/platform_frontend/response.rs
+++ b/src/gateway/platform_frontend/response.rs
@@ -1,4 +1,4 @@
-//! The answers to clients, and why a request is rejected.
+//! Responses to clients, and the reasons for which a request is rejected.
 
 use crate::gateway::frontend::{BodyError, HealthStatus};
 use crate::gateway::metrics::GatewayMetrics;
@@ -7,11 +7,11 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 
-/// The answer to a client.
+/// The contents of a response to a client.
 pub(super) struct PlatformResponse {
     pub status: StatusCode,
     pub body: Bytes,
-    /// The `Retry-After` of the response, in microseconds; `None` to send none.
+    /// `Retry-After` of the response, in microseconds; `None` to send no `Retry-After`.
     pub retry_after_us: Option<u64>,
 }
 
@@ -47,17 +47,17 @@
     }
 }
 
-/// Why a request is not submitted to the router.
+/// Reasons why a request is not submitted to the router.
 pub(super) enum Rejection {
     /// Too many connections are open.
     Overloaded,
-    /// The head is malformed or names something unknown.
+    /// The head of the request is malformed, or the class or the plan is unknown.
     Malformed(RequestError),
     /// A request with the same id is in progress.
     DuplicateId,
     /// The body is longer than the protocol allows.
     BodyTooLarge,
-    /// The body broke off or did not come in time.
+    /// The body is incomplete, malformed, or was not received in time.
     BodyIncomplete,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Rejection {
-    /// Counts the rejection.
+    /// Increments the counter for this kind of rejection.
     pub fn count(&self, metrics: &GatewayMetrics) {
         let counter = match self {
             Rejection::Overloaded => &metrics.overload,
@@ -83,8 +83,8 @@
         counter.increment();
     }
 
-    /// The answer. `overload_retry_after_us` is its `Retry-After` if too many connections are open, in
-    /// microseconds; `None` to send none.
+    /// Returns the response to the client. `overload_retry_after_us` is its `Retry-After` if too many
+    /// connections are open, in microseconds; `None` to send no `Retry-After`.
     pub fn into_response(self, overload_retry_after_us: Option<u64>) -> PlatformResponse {
         match self {
             Rejection::Overloaded => {
--- a/src/gateway/platform_frontend/transport.rs
+++ b/src/gateway/platform_frontend/transport.rs
@@ -1,4 +1,4 @@
-//! Takes the router's attempts to the storage nodes of the platform.
+//! Sends the router's attempts to the storage nodes of the platform.
 
 use crate::gateway::node_registry::NodeRegistry;
 use crate::gateway::node_transport::{AttemptPayload, ResponsePolicy, start_attempt};
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A response that has begun is malformed once nothing of it has arrived for this time: storage nodes write a
-/// response at once. No page states this time.
+/// Duration after which a response that has begun counts as malformed if nothing more of it arrives. Storage
+/// nodes write a response at once. The platform's pages do not state this time.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl AttemptPayload for ForwardedRequest {
@@ -31,13 +31,13 @@
     }
 }
 
-/// Takes the router's attempts to the storage nodes.
+/// Sends the router's attempts to the storage nodes.
 pub struct PlatformTransport {
-    /// Where the ends of attempts are reported.
+    /// Handle to the router, to which the ends of attempts are reported.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
-    /// The storage nodes.
+    /// The storage nodes and their connection pools.
     pub nodes: NodeRegistry,
-    /// Requests watches of the endpoint list.
+    /// Sender of watch requests to the [`EndpointWatcher`](crate::gateway::discovery::EndpointWatcher).
     pub watch_requests: mpsc::UnboundedSender<()>,
 }
 
@@ -52,7 +52,7 @@
     }
 
     fn watch_endpoints(&mut self) {
-        // The endpoint watcher lives as long as the program.
+        // Sending fails only if the endpoint watcher has stopped, which happens only when the program exits.
         let _ = self.watch_requests.send(());
     }
 }
