--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -22,7 +22,8 @@
 ///
 /// The platform considers a gateway informed of a change at fixed times, whether or not the gateway received
 /// the change: 2 s after the end of the wait of a watch that receives no response, and 6 s after any change
-/// (Protocol page, "Figures"). A failed call is repeated at most 4.5 s later, which leaves 1.5 s for the call.
+/// (Protocol page, "Figures"). A failed call is repeated at most 4.5 s later, which leaves 1.5 s for the
+/// call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Maximum length of an endpoint list, in bytes. The gateway sets this limit, not the platform. A list of
 /// 3,200 storage nodes, the maximum in "A Fixed Test for All Future Versions of the Gateway", takes 419,200
@@ -38,7 +39,7 @@
     MAX_WATCH_WAIT.saturating_sub(WATCH_WAIT_SPREAD.mul_f64(position))
 }
 
-/// Why a poll returned no endpoint list.
+/// Reasons why a poll returned no endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum PollError {
     /// A watch received no complete response within its wait plus [`CALL_TIMEOUT`].
@@ -50,7 +51,7 @@
     CallFailed,
 }
 
-/// Why a request to discovery returned no body to decode.
+/// Reasons why a request to discovery returned no body to decode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FetchError {
     /// No connection could be established, or it failed before a response was received.
@@ -79,7 +80,7 @@
     pub cached_list: Option<EndpointList>,
     /// The registry to which the lists are applied, with the connection pools of the nodes.
     pub nodes: NodeRegistry,
-    /// Receives the endpoint lists and the failures of polls.
+    /// Handle to the router, to which endpoint lists and failed polls are reported.
     pub router: RouterHandle<P, R>,
     /// Counts calls, failed calls, malformed lists and list entries.
     pub metrics: Rc<GatewayMetrics>,
@@ -122,7 +123,8 @@
     /// address may keep the call open without ever responding.
     ///
     /// A watch that times out is also reopened at once, because changes that it missed are about to take
-    /// effect. They may already have taken effect, so the timeout is reported to the scheduler.
+    /// effect: the platform will consider the gateway informed of them. They may already have taken effect,
+    /// so the timeout is reported to the scheduler as a failed poll.
     async fn watch_until_failure(
         &self,
         version: &mut Option<u64>,
@@ -160,8 +162,8 @@
         });
     }
 
-    /// Makes one call to discovery: a watch for changes after `version`, or a request for the complete list if
-    /// `version` is `None`.
+    /// Makes one call to discovery: a watch for changes after `version`, or a request for the complete list
+    /// if `version` is `None`.
     async fn poll(
         &self,
         idle_connection: &mut Option<NodeConnection>,
@@ -214,8 +216,7 @@
                 return fetched;
             }
         }
-        // An unreachable machine accepts no connection. Without this timeout, connecting to it could take as
-        // long as a watch.
+        // Without this timeout, connecting to an unreachable machine could take as long as a watch.
         let connecting = tokio::time::timeout(CALL_TIMEOUT, NodeConnection::connect(address));
         let Ok(Ok(connection)) = connecting.await else { return Err(FetchError::ConnectionFailed) };
         self.request_list(connection, idle_connection, address, version).await
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Counts of the gateway, including those of its router.
+/// Counters of the gateway, including those of its router.
 #[derive(Debug, Default)]
 pub struct GatewayMetrics {
-    /// Counts of the requests and attempts that the router handled.
+    /// Counters of the requests and attempts that the router handled.
     pub requests: Rc<RequestMetrics>,
     /// Requests rejected because they are malformed, unauthorized or duplicates, or have an incomplete body.
     /// Requests to the object API with an unknown bucket or upload, without `Content-Length`, or with a
@@ -21,7 +21,7 @@
     pub overload: Counter,
     /// Calls to discovery: polls and watches of the endpoint list.
     pub list_calls: Counter,
-    /// Calls to discovery that failed or timed out, without those that returned a malformed list.
+    /// Calls to discovery that failed or timed out, not including those that returned a malformed list.
     pub list_failures: Counter,
     /// Endpoint lists that could not be decoded; the previous list stayed in effect.
     pub list_malformed: Counter,
--- a/src/gateway/node_registry.rs
+++ b/src/gateway/node_registry.rs
@@ -44,8 +44,8 @@
 }
 
 impl NodeRegistry {
-    /// Creates an empty registry. `limits` apply to the pools of all nodes. The number of a zone is the position
-    /// of its name in `zone_names`.
+    /// Creates an empty registry. `limits` apply to the pools of all nodes. The number of a zone is the
+    /// position of its name in `zone_names`.
     pub fn new(limits: PoolLimits, zone_names: Vec<String>) -> Self {
         NodeRegistry { limits, zone_names: Rc::new(zone_names), nodes: Rc::default() }
     }
@@ -69,16 +69,14 @@
                 }
             }
         }
-        // A draining node keeps its pool, because the platform's rules allow the scheduler to send it attempts
-        // for a while. A node that is removed, or that a snapshot does not contain, receives no more attempts,
-        // so its pool is dropped.
-        let find_record = |id: &NodeId| records.iter().find(|record| *record.name == **id);
+        // A draining node keeps its pool, because the platform's rules allow the scheduler to send it
+        // attempts for a while. A node that is removed, or that a snapshot does not contain, receives no more
+        // attempts, so its pool is dropped.
+        let find = |id: &NodeId| records.iter().find(|record| *record.name == **id);
         match kind {
-            ListKind::Snapshot => nodes.retain(|id, _| find_record(id).is_some()),
+            ListKind::Snapshot => nodes.retain(|id, _| find(id).is_some()),
             ListKind::Delta => {
-                nodes.retain(|id, _| {
-                    find_record(id).is_none_or(|record| record.state != EndpointState::Removed)
-                });
+                nodes.retain(|id, _| find(id).is_none_or(|record| record.state != EndpointState::Removed));
             }
         }
         records.iter().map(|record| record.to_endpoint(&self.zone_names)).collect()
--- a/src/gateway/object_frontend/idempotency.rs
+++ b/src/gateway/object_frontend/idempotency.rs
@@ -6,14 +6,15 @@
 use crate::protocol::object::Operation;
 use bytes::Bytes;
 
-/// Length of a key, in bytes of the hash that it is taken from.
+/// Number of bytes of the hash that a key contains, as hex digits.
 const KEY_LEN: usize = 16;
 
 /// Returns the key by which the storage nodes of a rack recognize a repeated write.
 ///
-/// If a client repeats a request to store a part or to complete an upload, both requests are the same write
-/// and have the same key. For other operations only the client can declare requests to be the same write, by
-/// sending an idempotency key of its own; without one, each request has a different key.
+/// Requests to store the same part, or to complete the same upload, have the same key if their bodies are
+/// equal: they are the same write however often the client sends them. For other operations, only the client
+/// can declare requests to be the same write, by sending an idempotency key of its own. Without one, each
+/// request has a different key.
 pub(super) fn idempotency_key(routed: &RoutedRequest, body: &Bytes, request_id: &str) -> String {
     let request = &routed.request;
     let write = describe_write(routed, request_id);
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -12,8 +12,8 @@
 use hyper::HeaderMap;
 
 impl ObjectFrontend {
-    /// Returns the description of a request under which it is submitted to the router. `body` is the body that
-    /// is sent to the storage node.
+    /// Returns the description of a request for the router. `body` is the body that is sent to the storage
+    /// node.
     pub(super) fn incoming_request(
         &self,
         routed: &RoutedRequest,
@@ -38,6 +38,7 @@
     /// Returns the time at which a request expires, on the router's clock. The time that the client states in
     /// `Req-Deadline` counts from the receipt of the request's head. If the client states none, the class's
     /// deadline counts from the end of the body. The class's deadline is also the maximum for a stated time.
+    /// In either case, the request expires [`RESPONSE_MARGIN_US`] earlier.
     fn expires_at_us(&self, class: ObjectClass, routed: &RoutedRequest) -> Result<u64, ApiError> {
         let deadline_us = self.limits.deadline_us(class);
         let stated_timeout_us = client_timeout_us(&routed.headers)?;
@@ -64,8 +65,8 @@
     hash.first_chunk().map_or(0, |first: &[u8; 8]| u64::from_be_bytes(*first))
 }
 
-/// Returns the time for which the client waits, in microseconds, from the `Req-Deadline` header; `None` if the
-/// request has no such header.
+/// Returns the time for which the client waits, in microseconds, from the `Req-Deadline` header; `None` if
+/// the request does not have this header.
 fn client_timeout_us(headers: &HeaderMap) -> Result<Option<u64>, ApiError> {
     let Some(value) = headers.get(DEADLINE) else { return Ok(None) };
     match value.to_str().ok().and_then(parse_timeout) {
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -117,8 +117,9 @@
         }
     }
 
-    /// Counts a request that is rejected as malformed, unauthorized or with an incomplete body. Unknown
-    /// buckets and uploads, a missing Content-Length, and a malformed Req-Deadline are not counted.
+    /// Counts a rejected request and returns its rejection. Used for requests that are malformed or
+    /// unauthorized, or whose body is incomplete or too slow. Requests with an unknown bucket or upload,
+    /// without `Content-Length`, or with a malformed `Req-Deadline` are not counted.
     fn bad_request(&self, error: ApiError) -> Rejection {
         self.metrics.bad_requests.increment();
         error.into()
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -27,8 +27,8 @@
 }
 
 impl RoutedRequest {
-    /// Builds the request to a storage node. Returns an error if the body of a request to complete an upload is
-    /// malformed.
+    /// Builds the request to a storage node. Returns an error if the body of a request to complete an upload
+    /// is malformed.
     pub fn node_request(&self, body: Bytes, request_id: &str) -> Result<NodeRequest, ApiError> {
         let body = match self.request.operation {
             Operation::CompleteUpload { .. } => {
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -63,8 +63,8 @@
 }
 
 impl ObjectTransport {
-    /// Returns the rule for the response to this payload's request. Successful responses with an object's data
-    /// are streamed if they are longer than [`ObjectLimits::response_buffer_len`].
+    /// Returns the streaming rule for the response to this payload's request. Successful responses with an
+    /// object's data are streamed if they are longer than [`ObjectLimits::response_buffer_len`].
     fn streaming_rule(&self, payload: Rc<ObjectPayload>) -> StreamingRule {
         let may_stream = payload.request.may_stream;
         StreamingRule {
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -57,11 +57,11 @@
 
 impl Frontend for PlatformFrontend {
     async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
-        let answer = match HealthStatus::for_path(request.uri().path(), &self.phase) {
+        let response = match HealthStatus::for_path(request.uri().path(), &self.phase) {
             Some(health) => health.into(),
             None => self.serve(request, context).await.unwrap_or_else(|rejection| self.reject(rejection)),
         };
-        client_request::response(answer.status, answer.body, answer.retry_after_us).map(full_body)
+        client_request::response(response.status, response.body, response.retry_after_us).map(full_body)
     }
 }
 
@@ -108,9 +108,10 @@
         rejection.into_response(self.overload_retry_after_us)
     }
 
-    /// Returns the time at which a request expires, on the router's clock. `client_timeout_us` counts from now,
-    /// when the last byte of the request has been received. During a graceful shutdown, the request expires no
-    /// later than the time by which the shutdown requires all answers.
+    /// Returns the time at which a request expires, on the router's clock. `client_timeout_us`, less
+    /// [`RESPONSE_MARGIN_US`], counts from the call, which follows the receipt of the last byte of the
+    /// request. During a graceful shutdown, the request expires no later than the time by which the shutdown
+    /// requires all answers.
     fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
         let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
         let until_shutdown_us = match self.shutdown.answer_by() {
--- a/src/gateway/platform_frontend/open_request_id.rs
+++ b/src/gateway/platform_frontend/open_request_id.rs
@@ -12,8 +12,8 @@
 pub struct OpenRequestIds(RefCell<FxHashSet<HeaderValue>>);
 
 impl OpenRequestIds {
-    /// Registers the id of a request until the returned guard is dropped. Returns `None` if a request with this
-    /// id is in progress.
+    /// Registers the id of a request until the returned guard is dropped. Returns `None` if a request with
+    /// this id is in progress.
     pub(super) fn register(&self, id: &HeaderValue) -> Option<OpenRequestId<'_>> {
         let OpenRequestIds(open_ids) = self;
         open_ids.borrow_mut().insert(id.clone()).then(|| OpenRequestId { open_ids, id: id.clone() })
