--- a/src/gateway/object_frontend/idempotency.rs
+++ b/src/gateway/object_frontend/idempotency.rs
@@ -1,4 +1,4 @@
-//! The idempotency key of a write.
+//! Computes the idempotency keys of writes.
 
 use super::routed_request::RoutedRequest;
 use crate::gateway::hashing::hash_fields;
@@ -6,12 +6,15 @@
 use crate::protocol::object::Operation;
 use bytes::Bytes;
 
-/// Bytes of the hash that make a key.
+/// Number of bytes of the hash that a key contains, as hex digits.
 const KEY_LEN: usize = 16;
 
-/// The key by which the storage nodes of a rack recognize a repeated write. Storing a part and completing an
-/// upload are the same write however often a client sends them; of all else only the client can say so, by a
-/// key of its own.
+/// Returns the key by which the storage nodes of a rack recognize a repeated write.
+///
+/// Requests to store the same part, or to complete the same upload, have the same key if their bodies are
+/// equal: they are the same write however often the client sends them. For other operations, only the client
+/// can declare requests to be the same write, by sending an idempotency key of its own. Without one, each
+/// request has a different key.
 pub(super) fn idempotency_key(routed: &RoutedRequest, body: &Bytes, request_id: &str) -> String {
     let request = &routed.request;
     let write = describe_write(routed, request_id);
