--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -3,7 +3,7 @@
 
 use super::Scheduler;
 use super::action::Action;
-use super::concurrency_window::{PacingSignal, TARGET_DELAY_OBJECTIVE_FRACTION};
+use super::concurrency_window::{DELAY_TARGET_OBJECTIVE_FRACTION, PacingSignal};
 use super::event::{AttemptOutcome, AttemptReport, RequestId};
 use super::health::{Backoff, LOST_AFTER_FACTOR};
 use super::node::WindowParameters;
@@ -105,7 +105,7 @@
         // queueing delay computed from this bound already exceeds the target.
         let bound_exceeds_target =
             matches!(report.outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut)
-                && queueing_delay_us > TARGET_DELAY_OBJECTIVE_FRACTION * tightest_objective_us;
+                && queueing_delay_us > DELAY_TARGET_OBJECTIVE_FRACTION * tightest_objective_us;
         if !bound_exceeds_target && report.outcome != AttemptOutcome::Succeeded {
             return;
         }
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -29,7 +29,7 @@
 const FASTEST_SAMPLES_DIVISOR: usize = 8;
 /// Target of the queueing delay at a node, as a fraction of the tightest latency objective. Attempts sent to
 /// the node are paced if the delay exceeds the target while the concurrency window is at its minimum.
-pub(super) const TARGET_DELAY_OBJECTIVE_FRACTION: f64 = 0.5;
+pub(super) const DELAY_TARGET_OBJECTIVE_FRACTION: f64 = 0.5;
 /// Pacing ends when the interval falls below this fraction of the tightest latency objective.
 const MIN_PACING_OBJECTIVE_FRACTION: f64 = 1.0 / 16.0;
 /// Minimum factor by which the pacing interval is multiplied per adjustment.
@@ -184,9 +184,9 @@
     /// Its drawback: a node that paused only briefly may be left idle.
     pub(super) fn adjust(&mut self, signal: &PacingSignal) {
         let (queueing_delay_us, objective_us) = (signal.queueing_delay_us, signal.tightest_objective_us);
-        let ratio = queueing_delay_us / (TARGET_DELAY_OBJECTIVE_FRACTION * objective_us);
+        let ratio = queueing_delay_us / (DELAY_TARGET_OBJECTIVE_FRACTION * objective_us);
         if ratio > 1.0 && signal.window_is_minimal {
-            let delay_above_target_us = queueing_delay_us - TARGET_DELAY_OBJECTIVE_FRACTION * objective_us;
+            let delay_above_target_us = queueing_delay_us - DELAY_TARGET_OBJECTIVE_FRACTION * objective_us;
             let current_us = if self.interval_us > 0.0 { self.interval_us } else { delay_above_target_us };
             self.interval_us =
                 if signal.node_is_failing { current_us.max(queueing_delay_us) } else { current_us };
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -9,8 +9,8 @@
 
 /// Maximum gap between two attempts sent to a paced node.
 const MAX_PACING_GAP_US: f64 = 5_000_000.0;
-/// The gap after an attempt is the pacing interval times a random factor from this value to this value plus
-/// 1.
+/// The gap after an attempt is the pacing interval times a random factor, which ranges from this value to
+/// this value plus 1.
 const MIN_PACING_GAP_FACTOR: f64 = 0.5;
 
 /// The priority order in which queued requests are considered for a free slot, highest first. While the node
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -2,7 +2,7 @@
 
 use super::Scheduler;
 
-/// Multiple of the expected latency of an attempt after which the attempt may be lost.
+/// Multiple of the expected latency of an attempt after which the attempt may be presumed lost.
 pub(super) const LOST_AFTER_FACTOR: f64 = 5.0;
 /// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -90,7 +90,8 @@
     /// class. A request that arrives with less time is assumed to have spent the difference at another
     /// gateway.
     longest_timeouts_us: Vec<u64>,
-    /// The class whose requests rank behind those of the other, latency-bound classes.
+    /// The class that is treated as background work; all other classes are latency-bound. See
+    /// [`background_class()`].
     background_class: ClassIndex,
     /// The shortest latency objective of all classes.
     tightest_objective_us: f64,
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -132,8 +132,8 @@
         self.presumed_lost -= u32::from(presumed_lost);
     }
 
-    /// Records that an attempt succeeded, and adjusts the concurrency window, at most once per expected
-    /// latency.
+    /// Records that an attempt succeeded, and adjusts the concurrency window unless it was adjusted less than
+    /// the expected latency of a mean request ago.
     pub(super) fn record_success(
         &mut self,
         now_us: u64,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -6,16 +6,18 @@
 //! number of gateways, scaled with the node's current capacity. The bucket holds one share and refills by one
 //! share per slow-start window.
 //!
-//! Deviation from the paper: with many gateways, a share is smaller than a complete request, and the node
-//! would stay idle. Therefore a bucket holds at least the tokens for a request of mean size, and a request
-//! larger than the share may be sent once the bucket holds the share.
+//! Deviation from the paper: with many gateways, a share is smaller than a request, so no bucket would ever
+//! hold the tokens for a complete request, and the node would stay idle. Therefore a bucket holds at least
+//! the tokens for a request of mean size, and a request larger than the share may be sent once the bucket
+//! holds the share.
 //!
-//! The bucket also refills faster if the shard's traffic allows it. A gateway estimates its part of the rate
-//! that would overload the node: overload factor x current capacity x the highest recent rate at which the
-//! shard served this gateway while warm. Its bucket refills at three quarters of that part, or at its share
-//! per window if that is faster. The parts of all gateways sum to the overloading rate, however many gateways
-//! there are. This keeps a node from idling when it returns to service in a deployment with many gateways.
-//! The drawback: if traffic has moved to another gateway, that gateway sends little to the node.
+//! Deviation from the paper: a bucket may refill faster than by one share per window. A gateway estimates its
+//! part of the rate that would overload the node: overload factor x current capacity x the highest recent
+//! rate at which the shard's node served this gateway while warm. The bucket refills at three quarters of
+//! that part, or at one share per window if that is faster. The parts of all gateways sum to the overloading
+//! rate, however many gateways there are. This keeps a node from idling when it returns to service in a
+//! deployment with many gateways. The drawback: if traffic has moved to another gateway, that gateway sends
+//! little to the node.
 
 use super::event::ShardId;
 use super::node::NodeState;
@@ -30,7 +32,8 @@
 const OVERLOAD_FRACTION: f64 = 0.75;
 /// Minimum observation time for an estimate of the rate of a shard, as a fraction of the warm-up time.
 const MIN_OBSERVED_FRACTION: f64 = 0.25;
-/// Speed at which the highest rate decays, relative to the current rate: one eighth.
+/// Speed at which the highest rate decays, relative to that of the current rate. It is applied as an exponent
+/// to the decay factor.
 const HIGHEST_RATE_DECAY_EXPONENT: f64 = 0.125;
 /// Lower bound of the initial capacity when it is used as a divisor.
 const MIN_CAPACITY: f64 = 1e-3;
