--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //! | module | subject |
 //! | --- | --- |
 //! | [`gateway`] | the program: configuration, signals, front ends, startup of actors and servers |
-//! | [`routing`] | requests in flight: the router actor, attempts, and one final answer per request |
+//! | [`routing`] | requests in progress: the router actor, attempts, and one final answer per request |
 //! | [`protocol`] | messages: decoded once into typed values and encoded once; no socket I/O |
 //! | [`transport`] | sockets: servers, connections and connection pools; independent of message contents |
 //! | [`scheduler`] | decisions: admission, dispatch, retries, node health, rate limits |
--- a/src/routing/attempt.rs
+++ b/src/routing/attempt.rs
@@ -1,4 +1,4 @@
-//! The interface to the transport: the attempts that it is given and the results that it reports.
+//! The interface to the transport, which receives attempts from the router and reports their results.
 
 use crate::scheduler::{AttemptOutcome, LoadReport, NodeId, RequestId};
 use std::cell::Cell;
@@ -16,18 +16,18 @@
     fn watch_endpoints(&mut self);
 }
 
-/// One attempt at a request, to be sent to a storage node.
+/// One attempt to serve a request, to be sent to a storage node.
 #[derive(Debug)]
 pub struct Attempt<P> {
-    /// The id of the request.
+    /// Id of the request; unique among the requests in progress.
     pub request: RequestId,
     /// The attempt's index among the request's attempts, from 0.
     pub index: u32,
     /// The storage node that the attempt is sent to.
     pub node: NodeId,
-    /// The payload that the front end submitted with the request; shared by all attempts at it.
+    /// The payload that the front end submitted with the request; shared by all attempts for it.
     pub payload: Rc<P>,
-    /// When the attempt times out; at the latest when the request expires.
+    /// Time at which the attempt times out; no later than the expiry of the request.
     pub deadline: Instant,
     /// Resolves when the attempt is cancelled, always with an error, because the sender is dropped.
     pub cancelled: oneshot::Receiver<()>,
@@ -35,7 +35,7 @@
     pub start_permit: StartPermit,
 }
 
-/// The permit to start attempts at a request. It is valid until the request has its final answer or its
+/// The permit to start attempts for a request. It is valid until the request has its final answer or its
 /// client has disconnected.
 ///
 /// The transport checks the permit once the connection for an attempt is established. Connecting may have
@@ -69,7 +69,7 @@
     pub response: Option<R>,
     /// The volume's metered rate in percent of its plan's provisioned rate; `None` if not reported.
     pub volume_rate_percent: Option<f64>,
-    /// Units that the node served the volume through other gateways since its previous response; 0 if not
+    /// Units that the node served for the volume through other gateways since its previous response; 0 if not
     /// reported.
     pub units_via_other_gateways: f64,
     /// The node's load report; each value is `None` if the node did not report it.
@@ -77,7 +77,7 @@
 }
 
 impl<R> AttemptResult<R> {
-    /// Returns the result of an attempt that received no response; nothing counts as reported.
+    /// Returns the result of an attempt that received no response, without any reported values.
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         AttemptResult {
             outcome,
--- a/src/routing/clock.rs
+++ b/src/routing/clock.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Maximum time from now for which a timer is set, in microseconds: one day. Without a limit, a time received
-/// from outside the gateway could overflow an [`Instant`].
+/// Maximum delay of a timer, in microseconds: one day. Without a limit, a time received from outside the
+/// gateway could overflow an [`Instant`].
 const MAX_TIMER_DELAY_US: u64 = 86_400_000_000;
 
 /// The scheduler's clock. It reads Unix time once, at its start, and then advances monotonically. Its times
-/// are comparable with the start times of storage nodes, which are given in Unix time, and steps of the
-/// system clock cannot move a deadline.
+/// can therefore be compared with the start times of storage nodes, which are in Unix time, and a step of the
+/// system clock does not move a deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
@@ -28,8 +28,8 @@
         self.origin_unix_us + self.origin.elapsed().as_micros() as u64
     }
 
-    /// Returns the instant at which the clock reaches `time_us`. A time before the clock's start yields its
-    /// start; a time more than one day ahead yields the instant one day from now.
+    /// Returns the instant at which the clock reaches `time_us`. For a time before the clock's
+    /// start, returns its start; for a time more than one day ahead, returns the instant one day from now.
     pub fn instant_at(&self, time_us: u64) -> Instant {
         let max_offset_us = self.now_us() - self.origin_unix_us + MAX_TIMER_DELAY_US;
         let offset_us = time_us.saturating_sub(self.origin_unix_us).min(max_offset_us);
--- a/src/routing/handle.rs
+++ b/src/routing/handle.rs
@@ -27,16 +27,16 @@
     }
 
     /// Submits a request, whose id must come from [`next_request_id`](Self::next_request_id). The request is
-    /// answered no later than `request.expires_at_us` plus the settings' `answer_grace_us`.
-    pub fn submit(&self, request: IncomingRequest, payload: P) -> PendingAnswer<P, R> {
-        let id = request.id;
+    /// answered no later than `incoming.expires_at_us` plus the settings' `answer_grace_us`.
+    pub fn submit(&self, incoming: IncomingRequest, payload: P) -> PendingAnswer<P, R> {
+        let id = incoming.id;
         let (responder, answer) = oneshot::channel::<FinalAnswer<R>>();
-        self.send(Command::Submit { request, payload, responder });
+        self.send(Command::Submit { incoming, payload, responder });
         PendingAnswer::new(id, answer, self.clone())
     }
 
     /// Returns the id for a request that is about to be submitted. Ids wrap around after 2^32 requests, so
-    /// they are unique only among the requests in flight.
+    /// they are unique only among the requests in progress.
     pub fn next_request_id(&self) -> RequestId {
         let number = self.next_request.get();
         self.next_request.set(number.wrapping_add(1));
@@ -49,7 +49,7 @@
         self.send(Command::ResponseStarted { request, response });
     }
 
-    /// Reports the end of an attempt. A report is ignored if the attempt with this index is not in flight.
+    /// Reports the end of an attempt. The report is ignored if the attempt with this index is not in flight.
     pub fn attempt_ended(&self, request: RequestId, attempt_index: u32, result: AttemptResult<R>) {
         self.send(Command::AttemptEnded { request, attempt_index, result });
     }
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -33,14 +33,14 @@
     pub received: Counter,
     /// Requests answered with a storage node's response.
     pub served: Counter,
-    /// Requests answered with [`FinalAnswer::Rejected`].
+    /// Rejected requests ([`FinalAnswer::Rejected`]): they had no effect, or repeating them is harmless.
     pub rejected: Counter,
-    /// Requests answered with [`FinalAnswer::Failed`].
+    /// Failed requests ([`FinalAnswer::Failed`]): they may have run.
     pub failed: Counter,
     /// Requests whose clients disconnected before the final answer.
     pub abandoned: Counter,
     /// Attempts handed to the transport, including those that the transport then did not send.
-    pub attempts_sent: Counter,
+    pub attempts_started: Counter,
     attempts_succeeded: Counter,
     attempts_failed: Counter,
     attempts_rejected: Counter,
@@ -84,7 +84,7 @@
             ("requests_refused", self.rejected.get()),
             ("requests_failed", self.failed.get()),
             ("requests_gone", self.abandoned.get()),
-            ("attempts_sent", self.attempts_sent.get()),
+            ("attempts_sent", self.attempts_started.get()),
             ("attempts_ok", self.attempts_succeeded.get()),
             ("attempts_error", self.attempts_failed.get()),
             ("attempts_full", self.attempts_rejected.get()),
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Tracks the requests in flight and their attempts, and gives each request exactly one final answer. This
+//! Tracks the requests in progress and their attempts, and gives each request exactly one final answer. This
 //! module is independent of wire formats and sockets.
 //!
 //! A front end [`submit`](RouterHandle::submit)s a request and awaits its [`FinalAnswer`]. The
@@ -27,10 +27,10 @@
     Served(R),
     /// The request was rejected: it had no effect, or repeating it is harmless.
     Rejected {
-        /// Delay after which the client should retry, in microseconds; `None` if the response carries no
-        /// `Retry-After`.
+        /// Delay after which the client should retry, in microseconds; `None` if the response must not
+        /// contain a `Retry-After`.
         retry_after_us: Option<u64>,
     },
-    /// The request failed and may have run.
+    /// The request failed, and it may have run.
     Failed,
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router: the actor that owns the scheduler and all requests in flight.
+//! The router: the actor that owns the scheduler and all requests in progress.
 
 use super::{
     Attempt, AttemptResult, AttemptTransport, Clock, FinalAnswer, RequestMetrics, RouterHandle, StartPermit,
@@ -19,23 +19,23 @@
 
 /// A command sent by a [`RouterHandle`].
 pub(super) enum Command<P, R> {
-    Submit { request: IncomingRequest, payload: P, responder: oneshot::Sender<FinalAnswer<R>> },
+    Submit { incoming: IncomingRequest, payload: P, responder: oneshot::Sender<FinalAnswer<R>> },
     ClientDisconnected(RequestId),
     ResponseStarted { request: RequestId, response: R },
     AttemptEnded { request: RequestId, attempt_index: u32, result: AttemptResult<R> },
     EndpointsUpdated(EndpointUpdate),
 }
 
-/// A request that has no final answer yet or has an attempt in flight.
-struct InFlightRequest<P, R> {
+/// A request in progress: it has no final answer yet, or it has an attempt in flight.
+struct RequestInProgress<P, R> {
     payload: Rc<P>,
     /// Sends the final answer; `None` once the request has been answered or its client has disconnected.
     responder: Option<oneshot::Sender<FinalAnswer<R>>>,
     start_permit: StartPermit,
     expires_at_us: u64,
     /// The number of attempts handed to the transport, which is also the index of the next attempt. The
-    /// scheduler's indexes are the same, although the scheduler also counts an attempt that was not handed
-    /// over: such an attempt is always the last one for its request.
+    /// scheduler uses the same indexes. It also counts an attempt that the router did not hand over, but it
+    /// never sends another attempt after one of those.
     attempts_started: u32,
     /// The attempt in flight; the scheduler sends at most one at a time for each request.
     attempt: Option<InFlightAttempt>,
@@ -50,20 +50,20 @@
     cancel: Option<oneshot::Sender<()>>,
 }
 
-/// A timer set by the scheduler. Timers are ordered by expiry time.
+/// A timer set by the scheduler. Timers are ordered by the time at which they expire.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
-    fires_at_us: u64,
+    expires_at_us: u64,
     token: u64,
 }
 
-/// The actor that owns the scheduler and all requests in flight, and gives each request exactly one final
+/// The actor that owns the scheduler and all requests in progress, and gives each request exactly one final
 /// answer. `P` is the payload that a front end submits with a request; `R` is a storage node's response.
 pub struct RequestRouter<P, R> {
     clock: Clock,
     scheduler: Scheduler,
     commands: mpsc::UnboundedReceiver<Command<P, R>>,
-    requests: FxHashMap<RequestId, InFlightRequest<P, R>>,
+    requests: FxHashMap<RequestId, RequestInProgress<P, R>>,
     timers: BinaryHeap<Reverse<Timer>>,
     metrics: Rc<RequestMetrics>,
 }
@@ -93,7 +93,7 @@
     pub async fn run(mut self, mut transport: impl AttemptTransport<P>) {
         let mut commands = Vec::new();
         loop {
-            let next_expiry = self.timers.peek().map(|timer| self.clock.instant_at(timer.0.fires_at_us));
+            let next_expiry = self.timers.peek().map(|timer| self.clock.instant_at(timer.0.expires_at_us));
             let timer_expired = async {
                 match next_expiry {
                     Some(expiry) => tokio::time::sleep_until(expiry).await,
@@ -116,7 +116,7 @@
     }
 
     /// Runs the scheduler on `events` and the expired timers and applies its actions, until neither events
-    /// nor expired timers remain. An attempt that may no longer be sent yields an event for the next round.
+    /// nor expired timers remain. An attempt that must not be started produces an event for the next round.
     fn run_scheduler(
         &mut self,
         mut events: Vec<Event>,
@@ -137,14 +137,14 @@
     }
 
     fn has_expired_timer(&self, now_us: u64) -> bool {
-        self.timers.peek().is_some_and(|timer| timer.0.fires_at_us <= now_us)
+        self.timers.peek().is_some_and(|timer| timer.0.expires_at_us <= now_us)
     }
 
     /// Handles a command and returns the event to pass to the scheduler, if any.
     fn handle_command(&mut self, command: Command<P, R>, now_us: u64) -> Option<Event> {
         match command {
-            Command::Submit { request, payload, responder } => {
-                Some(self.register(request, payload, responder))
+            Command::Submit { incoming, payload, responder } => {
+                Some(self.register(incoming, payload, responder))
             }
             Command::ClientDisconnected(request) => {
                 self.take_responder(request)?;
@@ -165,21 +165,21 @@
 
     fn register(
         &mut self,
-        request: IncomingRequest,
+        incoming: IncomingRequest,
         payload: P,
         responder: oneshot::Sender<FinalAnswer<R>>,
     ) -> Event {
         self.metrics.received.increment();
-        let entry = InFlightRequest {
+        let entry = RequestInProgress {
             payload: Rc::new(payload),
             responder: Some(responder),
             start_permit: StartPermit::new(),
-            expires_at_us: request.expires_at_us,
+            expires_at_us: incoming.expires_at_us,
             attempts_started: 0,
             attempt: None,
         };
-        self.requests.insert(request.id, entry);
-        Event::RequestArrived(request)
+        self.requests.insert(incoming.id, entry);
+        Event::RequestArrived(incoming)
     }
 
     fn end_attempt(
@@ -243,15 +243,15 @@
                 self.remove_if_complete(request);
             }
             Action::SetTimer { after_us, token } => {
-                self.timers.push(Reverse(Timer { fires_at_us: now_us + after_us, token }));
+                self.timers.push(Reverse(Timer { expires_at_us: now_us + after_us, token }));
             }
             Action::WatchEndpoints => transport.watch_endpoints(),
         }
         None
     }
 
-    /// Starts an attempt. If the request has been answered or has expired, or its client has disconnected,
-    /// returns the event that reports the attempt as not sent instead.
+    /// Hands an attempt to the transport. If the request has been answered or has expired, or its client has
+    /// disconnected, returns the event that reports the attempt as not sent instead.
     fn send_attempt(
         &mut self,
         request: RequestId,
@@ -260,14 +260,14 @@
         now_us: u64,
         transport: &mut impl AttemptTransport<P>,
     ) -> Option<Event> {
-        let may_be_sent =
-            |entry: &&mut InFlightRequest<P, R>| entry.responder.is_some() && now_us < entry.expires_at_us;
-        let Some(entry) = self.requests.get_mut(&request).filter(may_be_sent) else {
+        let awaits_answer =
+            |entry: &&mut RequestInProgress<P, R>| entry.responder.is_some() && now_us < entry.expires_at_us;
+        let Some(entry) = self.requests.get_mut(&request).filter(awaits_answer) else {
             let result = AttemptResult::without_response(AttemptOutcome::NotSent);
             self.metrics.count_attempt(result.outcome);
             return Some(self.attempt_ended_event(request, node, now_us, &result, now_us));
         };
-        self.metrics.attempts_sent.increment();
+        self.metrics.attempts_started.increment();
         let index = entry.attempts_started;
         entry.attempts_started += 1;
         let (cancel, cancelled) = oneshot::channel();
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Takes the sender for the final answer, and revokes the permit to start attempts at the request.
+    /// Takes the sender for the final answer, and revokes the permit to start attempts for the request.
     /// Returns `None` if the request has already been answered, its client has disconnected, or it is
     /// unknown.
     fn take_responder(&mut self, request: RequestId) -> Option<oneshot::Sender<FinalAnswer<R>>> {
@@ -308,7 +308,7 @@
     fn answer(&mut self, request: RequestId, answer: FinalAnswer<R>) {
         let Some(responder) = self.take_responder(request) else { return };
         self.metrics.count_answer(&answer);
-        // Sending fails only if the client has just disconnected, and then no answer is needed.
+        // Sending fails only if the client has just disconnected and no longer needs an answer.
         let _ = responder.send(answer);
     }
 
