--- a/src/bin/scheduler-simulator-adapter/messages.rs
+++ b/src/bin/scheduler-simulator-adapter/messages.rs
@@ -22,7 +22,7 @@
     /// The body does not have the structure that the message's name requires.
     #[error("message '{name}': {cause}")]
     Body {
-        /// The message's name.
+        /// The message's name on the wire, such as `inbound`.
         name: String,
         /// The error from decoding the body, such as a missing field.
         cause: serde_json::Error,
@@ -42,18 +42,18 @@
     },
     /// Defines an endpoint list that later messages refer to; replaces a list with the same id.
     DefineList {
-        /// The id of the list.
+        /// The id by which later updates refer to the list.
         list: ListId,
-        /// All endpoints in the list.
+        /// The endpoints in the list. The update that refers to the list states whether it is complete.
         endpoints: Vec<Endpoint>,
     },
     /// Starts a scheduler; replaces an instance with the same id and drops the events queued for it.
     StartInstance {
-        /// The id of the new scheduler.
+        /// The id by which later messages refer to the new scheduler.
         instance: InstanceId,
         /// The seed of the scheduler's random number generator.
         seed: u64,
-        /// The scheduler's settings.
+        /// The scheduler's settings, with defaults for those that the message omits.
         settings: Box<SchedulerSettings>,
     },
     /// Stops a scheduler and drops the events that the current batch contains for it.
@@ -86,7 +86,7 @@
 pub enum UpdateKind {
     /// The list contains only the endpoints that changed.
     Delta,
-    /// The list contains all endpoints.
+    /// The list contains all endpoints; an endpoint that is not in it is removed.
     Snapshot,
     /// The list contains all endpoints, as last known before a restart.
     Cached,
--- a/src/bin/scheduler-simulator-adapter/replies.rs
+++ b/src/bin/scheduler-simulator-adapter/replies.rs
@@ -10,10 +10,10 @@
 /// One line of a reply.
 #[derive(Serialize)]
 pub enum Reply<'a> {
-    /// Sends an attempt at a request to a storage node.
+    /// Sends an attempt to a storage node.
     #[serde(rename = "forward")]
     SendAttempt {
-        /// The id of the request.
+        /// The id of the request, from its `inbound` message.
         #[serde(rename = "ref")]
         request: u32,
         /// The name of the storage node.
@@ -22,20 +22,20 @@
         /// Time until the attempt times out, in microseconds; 0 if only the request's expiry limits it.
         #[serde(rename = "timeoutUs")]
         timeout_us: u64,
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
     /// Cancels an attempt in flight.
     #[serde(rename = "callOff")]
     CancelAttempt {
-        /// The id of the request.
+        /// The id of the request, from its `inbound` message.
         #[serde(rename = "ref")]
         request: u32,
         /// The attempt's index among the request's attempts, from 0.
         #[serde(rename = "shot")]
         attempt_index: u32,
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
@@ -45,33 +45,33 @@
         /// Delay after which the client should retry, in microseconds; 0 if the reply suggests none.
         #[serde(rename = "comeBackUs")]
         retry_after_us: u64,
-        /// The id of the request.
+        /// The id of the request, from its `inbound` message.
         #[serde(rename = "ref")]
         request: u32,
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
     /// Fails a request that may have run.
     #[serde(rename = "finishError")]
     Fail {
-        /// The id of the request.
+        /// The id of the request, from its `inbound` message.
         #[serde(rename = "ref")]
         request: u32,
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
     /// Sets a timer; the simulator reports its expiry with `tickDue`.
     #[serde(rename = "wakeMe")]
     SetTimer {
-        /// Time until the timer fires, in microseconds.
+        /// Time until the timer expires, in microseconds.
         #[serde(rename = "afterUs")]
         after_us: u64,
-        /// Returned in the `tickDue` message of this timer.
+        /// A number that the simulator returns in the `tickDue` message of this timer.
         #[serde(rename = "ctx")]
         token: u64,
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
@@ -80,14 +80,14 @@
     WatchEndpoints {
         /// Always `true`; the scheduler has no action that ends a watch.
         active: bool,
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
     },
     /// Reports that a scheduler panicked; its actions from this batch are discarded.
     #[serde(rename = "bailOut")]
     Panicked {
-        /// The scheduler.
+        /// The scheduler instance that the line belongs to.
         #[serde(rename = "who")]
         instance: InstanceId,
         /// The panic message; `panic` if the payload is not a string.
@@ -100,7 +100,7 @@
 }
 
 impl<'a> Reply<'a> {
-    /// Converts a scheduler's action; a missing timeout or retry delay becomes 0.
+    /// Converts a scheduler's action. Encodes a missing timeout or retry delay as 0.
     pub fn from_action(instance: InstanceId, action: &'a Action) -> Reply<'a> {
         match action {
             Action::SendAttempt { request, node, timeout_us } => {
--- a/src/bin/scheduler-simulator-adapter/wire.rs
+++ b/src/bin/scheduler-simulator-adapter/wire.rs
@@ -1,7 +1,7 @@
 //! The bodies of the simulator's messages, and their conversion to the scheduler's types.
 //!
-//! Fields are named after the scheduler's fields; serde attributes give the names on the wire. Unknown fields
-//! are ignored.
+//! Most fields have the names of the scheduler's fields; serde attributes state the names on the wire.
+//! Unknown fields are ignored.
 
 use crate::ids::{InstanceId, ListId};
 use serde::Deserialize;
@@ -155,7 +155,7 @@
 /// The part of a body that identifies a request.
 #[derive(Deserialize)]
 pub struct WireRequestRef {
-    /// The request's number, unique among the requests in flight at one gateway.
+    /// The request's number, unique among the requests in progress at one gateway.
     #[serde(rename = "ref")]
     pub request: u32,
 }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -92,7 +92,7 @@
 /// A tenant in responses of the administration API, without its token hash.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TenantView {
-    /// The tenant's name.
+    /// The tenant's name, unique among tenants.
     pub name: String,
     /// Name of the service plan that applies to each of the tenant's volumes.
     pub plan: String,
@@ -117,6 +117,6 @@
     pub rack: String,
     /// `ready`, `draining` or `gone`, including the effect of an operator's drain.
     pub state: &'static str,
-    /// Whether an operator has drained the node at this gateway.
+    /// Whether an operator has drained the node at this gateway, regardless of its state in the inventory.
     pub drained_here: bool,
 }
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -46,7 +46,7 @@
 /// Reasons why a client's request cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The method is neither GET nor PUT.
+    /// The method is neither GET (reads) nor PUT (writes), which are the only methods of the protocol.
     #[error("the method is neither GET nor PUT")]
     UnsupportedMethod,
     /// The class requires the other method: reads use GET, writes use PUT.
@@ -76,24 +76,24 @@
     pub class: ClassIndex,
     /// Index of the volume's service plan, from `Tier`.
     pub plan: PlanIndex,
-    /// Number of the volume, from `IO-Info`.
+    /// Number of the volume, from `IO-Info` (`volume`, 16 hex digits).
     pub volume: VolumeId,
     /// Number of gateways that receive requests for the volume, from `IO-Info` (`hosts`); finite and not
     /// negative.
     pub volume_gateways: f64,
-    /// Number of the block to read or write, from the last segment of the path.
+    /// Number of the block to read or write, from the last segment of the path (16 hex digits).
     pub block: BlockId,
     /// The shard that stores the block; `None` for a new object, for which the shard in `IO-Info` is
     /// negative.
     pub shard: Option<ShardId>,
-    /// Size of the request in units; finite and above 0.
+    /// Size of the request in units, from `IO-Info` (`units`); finite and above 0.
     pub units: f64,
     /// Time for which the client waits for the response, in microseconds, from `Req-Deadline`.
     pub timeout_us: u64,
 }
 
-/// Decodes the head of a client's request. `conflicting_length` tells whether the connection found that
-/// the head states the length of the body in conflicting ways.
+/// Decodes the head of a client's request. `conflicting_length` is true if the connection received both
+/// `Content-Length` and `Transfer-Encoding` in this head.
 ///
 /// # Errors
 ///
@@ -226,10 +226,11 @@
     pub body: Bytes,
 }
 
-/// Encodes a client's request for one attempt at a storage node.
+/// Encodes a client's request for one attempt, to be sent to a storage node.
 ///
-/// The method, path, query, body and forwarded headers, which include the request id and the idempotency key,
-/// are the client's. The deadline is `remaining`: the time for which the gateway will still wait.
+/// The method, path, query, body and forwarded headers are those of the client's request. The headers include
+/// the request id and the idempotency key. The deadline is `remaining`: the time for which the gateway will
+/// still wait.
 pub fn encode(forwarded: &ForwardedRequest, remaining: Duration) -> Request<Full<Bytes>> {
     let ForwardedRequest { head, body } = forwarded;
     let mut request = Request::new(Full::new(body.clone()));
@@ -251,8 +252,8 @@
     request
 }
 
-/// Encodes a response to a client. `retry_after_us` is its `Retry-After` in microseconds; `None` to send
-/// none.
+/// Encodes a response to a client. `retry_after_us` is its `Retry-After` in microseconds; if it is `None`,
+/// the response has no such header.
 pub fn response(status: StatusCode, body: impl Into<Bytes>, retry_after_us: Option<u64>) -> Response<Bytes> {
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
--- a/src/protocol/node_response/mod.rs
+++ b/src/protocol/node_response/mod.rs
@@ -13,7 +13,8 @@
 /// The information for the scheduler in the head of a storage node's response.
 #[derive(Clone, Debug)]
 pub struct NodeResponseHead {
-    /// Outcome of the attempt.
+    /// Outcome of the attempt: succeeded if the node served the request, rejected if it declined the request,
+    /// and failed otherwise.
     pub outcome: AttemptOutcome,
     /// The volume's metered rate in percent of its plan's provisioned rate, from `Volume-Load`; `None` if not
     /// reported.
@@ -21,7 +22,7 @@
     /// Units that the node has served for the volume through other gateways, from `Other-Hosts`; 0 if not
     /// reported.
     pub units_via_other_gateways: f64,
-    /// The node's load report, from `Srv-Load`; empty if not reported.
+    /// The node's load report, from `Srv-Load`; each value is `None` if not reported.
     pub load: LoadReport,
 }
 
@@ -52,7 +53,7 @@
             AttemptOutcome::Rejected
         }
         _ if is_served(status) => AttemptOutcome::Succeeded,
-        // Only a declined request is known not to have run.
+        // Any other request may have run: only a declined request is known not to have run.
         _ => AttemptOutcome::Failed,
     }
 }
--- a/src/protocol/object/error.rs
+++ b/src/protocol/object/error.rs
@@ -39,7 +39,7 @@
         ApiError::new(StatusCode::NOT_FOUND, "NoSuchUpload", "The upload does not exist.")
     }
 
-    /// A header, the path or the query of the request is malformed; `message` says what.
+    /// A header, the path or the query of the request is malformed; `message` describes the fault.
     pub fn invalid_argument(message: &str) -> ApiError {
         ApiError::new(StatusCode::BAD_REQUEST, "InvalidArgument", message)
     }
--- a/src/protocol/object/node_request.rs
+++ b/src/protocol/object/node_request.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Encodes the request for one attempt. Its deadline is the `remaining` time.
+    /// Encodes the request for one attempt. Its deadline is `remaining`: the time for which the gateway will
+    /// still wait.
     pub fn encode(&self, remaining: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/src/protocol/object/range/mod.rs
+++ b/src/protocol/object/range/mod.rs
@@ -6,11 +6,11 @@
 /// A range of bytes of an object, with offsets from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ByteRange {
-    /// From the first to the last offset, both inclusive.
+    /// The bytes from the first to the last offset, both inclusive.
     Span(u64, u64),
-    /// From this offset to the end of the object.
+    /// The bytes from this offset to the end of the object.
     From(u64),
-    /// This many bytes at the end of the object (a suffix range).
+    /// This number of bytes at the end of the object (a suffix range).
     Suffix(u64),
 }
 
--- a/src/protocol/object/request.rs
+++ b/src/protocol/object/request.rs
@@ -36,7 +36,7 @@
         /// Number of the part, from 1 to 10,000.
         number: u32,
     },
-    /// List the parts of an upload.
+    /// List the parts that have been stored for an upload, one page per request.
     ListParts {
         /// The upload id that a gateway issued to the client, not verified yet.
         upload_id: String,
--- a/src/protocol/object/upload/mod.rs
+++ b/src/protocol/object/upload/mod.rs
@@ -13,12 +13,12 @@
 #[derive(Clone)]
 pub struct UploadKey(Vec<u8>);
 
-/// The object that an upload id is valid for.
+/// The object to which a multipart upload belongs. An upload id is valid only for this object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObjectPath<'a> {
-    /// Name of the tenant.
+    /// Name of the tenant to which the bucket belongs.
     pub tenant: &'a str,
-    /// Name of the bucket.
+    /// Name of the bucket, as the client uses it.
     pub bucket: &'a str,
     /// The object's key, percent-decoded.
     pub key: &'a str,
@@ -42,15 +42,15 @@
         (secret.len() >= Self::MIN_SECRET_LEN).then(|| UploadKey(secret.to_vec()))
     }
 
-    /// Returns the upload id for the client, which is valid only for this object.
+    /// Returns the upload id that the client receives. It is valid only for the object at `path`.
     pub fn sign(&self, path: ObjectPath, upload: &Upload) -> String {
         let payload = URL_SAFE_NO_PAD.encode(format!("{}\n{}", upload.rack, upload.node_upload_id));
         let mac = URL_SAFE_NO_PAD.encode(self.mac(path, &payload).finalize().into_bytes());
         format!("{payload}.{mac}")
     }
 
-    /// Decodes an upload id of a client; returns `None` unless a gateway of this deployment signed it for
-    /// this object.
+    /// Verifies and decodes an upload id from a client; returns `None` unless a gateway of this deployment
+    /// signed it for the object at `path`.
     pub fn verify(&self, path: ObjectPath, id: &str) -> Option<Upload> {
         let (payload, mac) = id.split_once('.')?;
         let mac = URL_SAFE_NO_PAD.decode(mac).ok()?;
--- a/src/protocol/object/xml.rs
+++ b/src/protocol/object/xml.rs
@@ -63,7 +63,7 @@
 /// A part in the list of an upload's parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedPart {
-    /// Number of the part.
+    /// Number of the part, as the storage node reports it.
     #[serde(rename = "PartNumber")]
     pub number: u32,
     /// Time at which the part was stored, as the storage node formats it; `None` if not reported.
@@ -133,7 +133,7 @@
 /// The contents of a storage node's error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorBody {
-    /// S3 error code.
+    /// S3 error code, such as `NoSuchUpload`, as the storage node reports it.
     pub code: String,
     /// Human-readable description; empty if the node sends none.
     pub message: String,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,8 +1,9 @@
 //! Decodes the platform's settings, which are part of the platform's configuration file and of the message
 //! with which the simulator starts a scheduler.
 //!
-//! Fields have the scheduler's names; serde attributes state the names on the wire. A field that is missing
-//! on the wire has the default value given here, and unknown fields are ignored.
+//! Most fields have the names of the scheduler's settings; serde attributes state the names on the wire. A
+//! field that is missing on the wire has the default value given here, and unknown fields are ignored. Fields
+//! that end in `_us` are microseconds, and rates are units per second.
 
 use crate::scheduler::{
     DeduplicationScope, Idempotency, RateLimit, RequestClass, RetryBudget, SchedulerSettings, ServicePlan,
@@ -33,18 +34,22 @@
     rules: WireRules,
 }
 
+/// A request class. The deduplication fields (`keyScope`, `repeatWindowUs`) apply only if the class requires
+/// idempotency keys.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct WireClass {
     #[serde(rename = "aimStretch")]
     objective_stretch: f64,
+    /// 0 if the class has no latency objective.
     #[serde(rename = "promiseUs")]
     latency_objective_us: u64,
     deadline_us: u64,
     idempotency: WireIdempotency,
     key_scope: WireKeyScope,
+    /// Whether requests for the same block run one at a time, in order of arrival.
     #[serde(rename = "oneAtATime")]
-    ordered_by_key: bool,
+    ordered_by_block: bool,
     #[serde(rename = "lateValue")]
     late_weight_factor: f64,
     name: String,
@@ -62,7 +67,7 @@
             deadline_us: 0,
             idempotency: WireIdempotency::default(),
             key_scope: WireKeyScope::default(),
-            ordered_by_key: false,
+            ordered_by_block: false,
             late_weight_factor: 0.0,
             name: String::new(),
             deduplication_window_us: 0,
@@ -71,8 +76,8 @@
     }
 }
 
-/// Which repetitions of a class's requests are harmless. Any unknown value counts as non-idempotent, the safe
-/// choice.
+/// Whether repetitions of a class's requests are harmless: always, only with the same idempotency key, or
+/// never. Any unknown value counts as non-idempotent, which is the safe choice.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(from = "String")]
 enum WireIdempotency {
@@ -112,8 +117,8 @@
     }
 }
 
-/// How a gateway receives changes to the endpoint list: pushed, unless the settings require requests for
-/// them.
+/// How a gateway receives changes to the endpoint list: it polls discovery (`on_request`), or discovery
+/// pushes them (any other value).
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(from = "String")]
 enum DiscoveryMode {
@@ -131,13 +136,17 @@
     }
 }
 
+/// A service plan. Rates apply to one volume, over all gateways and nodes.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct WirePlan {
+    /// 0 or less if the plan has no rate limit; the burst and the overdraft then have no effect.
     #[serde(rename = "cap")]
     rate_limit: f64,
+    /// In units.
     #[serde(rename = "capDepth")]
     burst: f64,
+    /// In units.
     #[serde(rename = "capSlack")]
     overdraft: f64,
     name: String,
@@ -170,14 +179,18 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireWorkload {
+    /// Units that a node that has just started sustains within the slow start window (`fallUs`); `None` if
+    /// the platform does not specify a value.
     #[serde(rename = "coldBears")]
     slow_start_units: Option<f64>,
     #[serde(rename = "saysOthers")]
     reports_other_gateways: bool,
     #[serde(rename = "unitsTop")]
     max_request_units: f64,
+    /// 0 if nodes do not report the total rate of a volume.
     #[serde(rename = "usePeriodUs")]
     metering_period_us: u64,
+    /// Whether the requests of each class are writes, ordered by class index.
     #[serde(rename = "writes")]
     class_writes: Vec<bool>,
     #[serde(rename = "usualUnits")]
@@ -186,8 +199,9 @@
     fair_share_weight_factor: f64,
 }
 
-/// Limits and capabilities of a gateway. In `connIdleUs`, `maxAttempts` and `maxRetryAfterUs`, 0 means that
-/// the platform does not specify a value.
+/// Limits on attempts, connections and retry delays, and optional capabilities: whether storage nodes honor
+/// cancellation (`cancel`) and whether clients honor `Retry-After` (`retryAfter`). In `connIdleUs`,
+/// `maxAttempts` and `maxRetryAfterUs`, 0 means that the platform does not specify a value.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireLimits {
@@ -201,7 +215,8 @@
     retry_after: bool,
 }
 
-/// The deployment's rules on polling, draining, slow start, retries and ordering.
+/// The deployment's rules on polling, draining, slow start, retries and ordering. An optional value is `None`
+/// if the platform does not specify it.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase", default)]
 struct WireRules {
@@ -266,8 +281,8 @@
         self.plans.iter().map(|plan| plan.name.clone()).collect()
     }
 
-    /// Returns whether the requests of each class are writes, ordered by class index. Shorter than the list
-    /// of classes, or empty, if the settings do not specify this for all classes.
+    /// Returns whether the requests of each class are writes, ordered by class index. The list is shorter
+    /// than the list of classes, or empty, if the settings do not specify this for all classes.
     pub fn class_writes(&self) -> Vec<bool> {
         self.workload.class_writes.clone()
     }
@@ -292,7 +307,7 @@
             priority_weight: self.priority_weight,
             late_weight_factor: self.late_weight_factor,
             idempotency: self.to_idempotency(),
-            ordered_by_key: self.ordered_by_key,
+            ordered_by_key: self.ordered_by_block,
             objective_stretch: self.objective_stretch,
         }
     }
@@ -338,8 +353,9 @@
 }
 
 impl WireRules {
-    /// Returns `None` unless the settings specify both the units that a starting node sustains (`coldBears`)
-    /// and the load at which it is overloaded (`tipMultiple`).
+    /// Returns `None` unless the settings specify both the units that a node that has just started sustains
+    /// (`coldBears`) and the overload factor (`tipMultiple`). A node is overloaded by more than this multiple
+    /// of its current capacity over the slow start window.
     fn slow_start_policy(&self, workload: &WireWorkload) -> Option<SlowStartPolicy> {
         Some(SlowStartPolicy {
             guaranteed_units: workload.slow_start_units?,
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -23,7 +23,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// Maximum time for which bytes from the client are read and discarded before its connection is closed.
+/// Maximum duration of lingering: bytes from the client are read and discarded before its connection is
+/// closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Duration without input from the client after which lingering ends early.
 const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -37,16 +38,17 @@
 /// Properties of a request that its connection determines.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContext {
-    /// Whether the request is served or rejected because of overload.
+    /// Whether the request is served or is rejected because too many connections are open.
     pub admission: Admission,
-    /// Time at which the first byte of the request was read. For a pipelined request that was read together
-    /// with the previous one: time at which its processing started.
+    /// Time at which the first byte of the request was read. Bytes that are read while the previous request
+    /// is served do not count: the time is then that of the first read after the previous response, or, if no
+    /// further byte was needed, the time at which the processing of this request started.
     pub started_at: Instant,
     /// Whether the request has both `Transfer-Encoding` and `Content-Length`.
     pub conflicting_length: bool,
 }
 
-/// Whether a request is served or rejected because of overload.
+/// Whether a request is served or is rejected because too many connections are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request must be served.
@@ -59,12 +61,12 @@
 enum ConnectionEnd {
     /// The last response was written, or the connection failed. The connection lingers before it is closed.
     Finished,
-    /// The client disconnected during a request, or the connection expired or was evicted. The connection is
-    /// closed at once.
-    Abandoned,
+    /// The client disconnected during a request, or the connection timed out or was evicted. The connection
+    /// is closed at once.
+    Aborted,
 }
 
-/// A connection from a client.
+/// A connection from a client, from its acceptance until it is closed.
 pub(super) struct ClientConnection<S> {
     read_ahead: Rc<ReadAhead>,
     slot: Arc<ConnectionSlot>,
@@ -100,7 +102,7 @@
             .serve_connection(io, service_fn(|request| self.respond(request)));
         match self.drive(&mut connection).await {
             ConnectionEnd::Finished => self.linger().await,
-            ConnectionEnd::Abandoned => {}
+            ConnectionEnd::Aborted => {}
         }
     }
 
@@ -112,7 +114,7 @@
     ) -> Pin<Box<impl Future<Output = Result<Response<ResponseBody>, Infallible>>>> {
         let StartedRequest { started_at, guard } = self.slot.start_request();
         let admission =
-            if self.table.admits(&self.slot) { Admission::Admitted } else { Admission::Overloaded };
+            if self.table.try_admit(&self.slot) { Admission::Admitted } else { Admission::Overloaded };
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
         let conflicting_length = chunked && self.read_ahead.conflicting_length();
         let response = (self.service)(request, RequestContext { admission, started_at, conflicting_length });
@@ -131,8 +133,8 @@
         *self.phase.borrow() >= LifecyclePhase::FinalResponses
     }
 
-    /// Runs hyper's connection and watches for the other events that end it: a disconnect of the client, the
-    /// expiry or eviction of the connection, and the shutdown.
+    /// Runs hyper's connection until it ends. Also ends it if the client disconnects during a request, if the
+    /// connection times out or is evicted, or, late in a graceful shutdown, as soon as it is idle.
     async fn drive<H>(&self, connection: &mut http1::Connection<TokioIo<ClientStream>, H>) -> ConnectionEnd
     where
         H: HttpService<Incoming, ResBody = ResponseBody, Error = Infallible> + Unpin,
@@ -146,13 +148,13 @@
             tokio::select! {
                 biased;
                 // hyper has finished: the last response was written, or the connection failed. A request that
-                // is still in flight is cancelled when `connection` is dropped, after lingering (see
+                // is still in progress is cancelled when `connection` is dropped, after lingering (see
                 // docs/open.md).
                 _ = poll_fn(|cx| connection.poll_without_shutdown(cx)) => return ConnectionEnd::Finished,
-                // The client disconnected and hyper has not detected it: `connection` is dropped at once,
+                // The client disconnected, and hyper has not detected it. `connection` is dropped at once,
                 // which cancels the request.
                 () = poll_fn(|cx| self.poll_client_closed(cx, &mut check_interval)) => {
-                    return ConnectionEnd::Abandoned;
+                    return ConnectionEnd::Aborted;
                 }
                 _ = phase.wait_for(|phase| *phase == LifecyclePhase::ClosingIdle), if !closing => {
                     closing = true;
@@ -162,7 +164,7 @@
                         Pin::new(&mut *connection).graceful_shutdown();
                     }
                 }
-                () = self.slot.expired() => return ConnectionEnd::Abandoned,
+                () = self.slot.must_close() => return ConnectionEnd::Aborted,
             }
         }
     }
--- a/src/transport/connection_pool/mod.rs
+++ b/src/transport/connection_pool/mod.rs
@@ -12,14 +12,14 @@
 use tokio::time::Instant;
 
 /// Duration for which a connection is not reused after a response. According to the platform, a duplicate
-/// response may arrive some milliseconds later. It does not identify its request, so it would be taken for
-/// the response to the next request on the connection.
+/// response may arrive some milliseconds later. A response does not identify its request, so the duplicate
+/// would be taken for the response to the next request on the connection.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
 /// Limits that apply to the pools of all nodes.
 #[derive(Clone)]
 pub struct PoolLimits {
-    /// One permit for each connection that may be open, shared by all pools.
+    /// One permit for each connection that may be open in all pools together.
     pub permits: Arc<Semaphore>,
     /// Maximum time to establish a connection.
     pub connect_timeout: Duration,
@@ -37,14 +37,14 @@
 enum Command {
     Execute(Box<Exchange>),
     Return(PooledConnection),
-    /// Closes idle connections that were last used before this time, and any such connection that is returned
-    /// later.
+    /// Closes idle connections that were last used before this time, and drops such connections when they are
+    /// returned.
     InvalidateBefore(Instant),
     AddressChanged(SocketAddr),
     NodeRestarted,
 }
 
-/// A handle to the actor that owns the connections to one storage node.
+/// A handle to the actor that owns the connections to one storage node. Clones refer to the same actor.
 #[derive(Clone)]
 pub struct ConnectionPool(mpsc::UnboundedSender<Command>);
 
@@ -154,8 +154,8 @@
     }
 }
 
-/// Takes the most recently used connection that can be reused. Drops connections that turn out to be unusable
-/// during the search.
+/// Takes the most recently used connection that can be reused. Drops each connection that is found to be
+/// unusable during the search.
 fn take_reusable(idle: &mut Vec<PooledConnection>) -> Option<PooledConnection> {
     loop {
         let position = idle.iter().rposition(|pooled| pooled.last_used.elapsed() >= REUSE_DELAY)?;
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -1,4 +1,5 @@
-//! Tracks the state of each client connection, and evicts connections when the connection table is full.
+//! Tracks the state of each client connection, and evicts connections once the serving limit is reached: the
+//! maximum number of connections whose requests are served.
 
 use std::cell::{Cell, RefCell};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,18 +8,17 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Maximum time that a client may take from its connection to the first byte of its first request, and from
-/// the first byte of a request to the end of its head. The platform requires that a client that never ends
-/// its head is disconnected within 3 s.
+/// Maximum time from the acceptance of a connection to the first byte of its first request, and from the
+/// first byte of a request to the end of its head. The platform requires that a client that never completes a
+/// request head is disconnected within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Duration after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Minimum time without a first byte before a new connection can be evicted. Applies when the table is full.
+/// Minimum age of a connection that has not received a byte before it can be evicted.
 const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// Minimum time since the first byte of an incomplete head before a connection can be evicted. Applies when
-/// the table is full.
+/// Minimum time since the first byte of an incomplete head before a connection can be evicted.
 const MIN_HEAD_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(1);
-/// Minimum idle time before a connection can be evicted. Applies when the table is full.
+/// Minimum idle time before a connection can be evicted.
 const MIN_IDLE_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 }
 
 impl SlotStatus {
-    fn now(state: ConnectionState) -> Self {
+    fn starting_now(state: ConnectionState) -> Self {
         SlotStatus { state, since: Instant::now() }
     }
 }
@@ -50,10 +50,10 @@
 /// An entry of the connection table: the state of one connection.
 pub(super) struct ConnectionSlot {
     id: u64,
-    /// In a mutex, although there is only one thread, because response bodies hold a [`RequestGuard`] and
-    /// must be `Send`.
+    /// The status is in a mutex because response bodies contain a [`RequestGuard`] and must be `Send`,
+    /// although all connections run on one thread.
     status: Mutex<SlotStatus>,
-    /// Whether a request on this connection has been admitted before.
+    /// Whether the connection has been admitted, so that all its further requests are served as well.
     admitted: AtomicBool,
     /// Notified when the connection is evicted.
     evicted: Notify,
@@ -61,10 +61,11 @@
 
 /// A request whose head has just been received.
 pub(super) struct StartedRequest {
-    /// Time at which the first byte of the request was read. For a pipelined request that was read together
-    /// with the previous one: time at which its processing started.
+    /// Time at which the first byte of the request was read. Bytes that are read while the previous request
+    /// is served do not count: the time is then that of the first read after the previous response, or, if no
+    /// further byte was needed, the time at which the processing of this request started.
     pub(super) started_at: Instant,
-    /// Must be kept until the response has been written.
+    /// Marks the request as in progress; must be dropped only once the response has been written.
     pub(super) guard: RequestGuard,
 }
 
@@ -78,7 +79,7 @@
     }
 
     fn set_state(&self, state: ConnectionState) {
-        *self.status() = SlotStatus::now(state);
+        *self.status() = SlotStatus::starting_now(state);
     }
 
     /// Records that bytes have been received from the client.
@@ -109,7 +110,7 @@
         self.state() == ConnectionState::ServingRequest
     }
 
-    /// Records that the connection is about to be closed. It no longer counts towards the capacity.
+    /// Records that the connection is about to be closed. It no longer counts towards the serving limit.
     pub(super) fn start_closing(&self) {
         self.set_state(ConnectionState::Closing);
     }
@@ -121,7 +122,7 @@
 
     /// Resolves once the connection must be closed, because its client has taken too long or because it has
     /// been evicted.
-    pub(super) async fn expired(&self) {
+    pub(super) async fn must_close(&self) {
         loop {
             let SlotStatus { state, since } = *self.status();
             let deadline = match state {
@@ -155,25 +156,26 @@
 
 /// The connections of one listener.
 pub(super) struct ConnectionTable {
-    /// Maximum number of connections whose requests are served.
-    capacity: usize,
+    /// The serving limit: the maximum number of connections whose requests are served. The table may contain
+    /// more connections.
+    max_served: usize,
     next_id: Cell<u64>,
     slots: RefCell<Vec<Arc<ConnectionSlot>>>,
 }
 
 impl ConnectionTable {
-    /// Creates a table that serves at most `capacity` connections.
-    pub(super) fn new(capacity: usize) -> Self {
-        ConnectionTable { capacity, next_id: Cell::new(0), slots: RefCell::default() }
+    /// Creates an empty table with the serving limit `max_served`.
+    pub(super) fn new(max_served: usize) -> Self {
+        ConnectionTable { max_served, next_id: Cell::new(0), slots: RefCell::default() }
     }
 
-    /// Adds a new connection to the table.
+    /// Adds a new connection to the table, even if the serving limit has been reached.
     pub(super) fn insert(&self) -> Arc<ConnectionSlot> {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         let slot = Arc::new(ConnectionSlot {
             id,
-            status: Mutex::new(SlotStatus::now(ConnectionState::AwaitingFirstByte)),
+            status: Mutex::new(SlotStatus::starting_now(ConnectionState::AwaitingFirstByte)),
             admitted: AtomicBool::new(false),
             evicted: Notify::new(),
         });
@@ -186,18 +188,18 @@
         self.slots.borrow_mut().retain(|other| other.id != slot.id);
     }
 
-    /// Returns whether a request on this connection is served: the number of open connections is within the
-    /// capacity, or a request on this connection has been admitted before.
-    pub(super) fn admits(&self, slot: &ConnectionSlot) -> bool {
-        if self.open_count() <= self.capacity {
+    /// Admits the connection if the number of open connections is within the serving limit. Returns whether
+    /// the connection is admitted, now or by an earlier call, so that its requests are served.
+    pub(super) fn try_admit(&self, slot: &ConnectionSlot) -> bool {
+        if self.open_count() <= self.max_served {
             slot.admitted.store(true, Ordering::Relaxed);
         }
         slot.admitted.load(Ordering::Relaxed)
     }
 
-    /// Returns whether one more connection would exceed the capacity.
-    pub(super) fn is_full(&self) -> bool {
-        self.open_count() >= self.capacity
+    /// Returns whether one more connection would exceed the serving limit.
+    pub(super) fn is_serving_limit_reached(&self) -> bool {
+        self.open_count() >= self.max_served
     }
 
     /// Returns the number of connections that are not closing.
@@ -205,14 +207,15 @@
         self.slots.borrow().iter().filter(|slot| slot.state() != ConnectionState::Closing).count()
     }
 
-    /// Evicts connections if the table is full.
+    /// Evicts connections if the serving limit is reached.
     ///
-    /// First evicts every connection that has been without a first byte for [`MIN_SILENCE_BEFORE_EVICTION`],
-    /// and every one that has had an incomplete head for [`MIN_HEAD_TIME_BEFORE_EVICTION`]. If the capacity
-    /// still does not allow one more connection, then evicts the longest idle connections until it does,
-    /// except those that have been idle for less than [`MIN_IDLE_TIME_BEFORE_EVICTION`].
+    /// First evicts every connection that was accepted at least [`MIN_SILENCE_BEFORE_EVICTION`] ago and has
+    /// not received a byte, and every connection whose head has been incomplete for at least
+    /// [`MIN_HEAD_TIME_BEFORE_EVICTION`]. If the serving limit still does not allow one more connection,
+    /// evicts the longest idle connections until it does, except those that have been idle for less than
+    /// [`MIN_IDLE_TIME_BEFORE_EVICTION`].
     pub(super) fn evict_stale(&self) {
-        if !self.is_full() {
+        if !self.is_serving_limit_reached() {
             return;
         }
         let slots = self.slots.borrow();
@@ -228,7 +231,7 @@
             }
         }
         idle.sort_by_key(|(since, _)| *since);
-        let excess = (self.open_count() + 1).saturating_sub(self.capacity);
+        let excess = (self.open_count() + 1).saturating_sub(self.max_served);
         idle.into_iter().take(excess).for_each(|(_, slot)| slot.evict());
     }
 }
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -29,7 +29,7 @@
 }
 
 impl StreamingRule {
-    /// Creates a rule by which no response is streamed.
+    /// Creates a rule that reads every response completely and streams none.
     pub fn never() -> Self {
         StreamingRule { min_body_len: 0, accepts_head: Box::new(|_, _| false) }
     }
@@ -41,17 +41,17 @@
 
 /// One request to a storage node, and how to handle its response.
 pub struct Exchange {
-    /// Builds the request once its connection is open, so that the request states the time remaining at that
-    /// point. Called at most once. Returns `None` if the client no longer waits for the response and the
+    /// Builds the request. Called at most once, when the connection is open, so that the request states the
+    /// time remaining at that point. Returns `None` if the client no longer waits for the response and the
     /// request must not be sent.
     pub build_request: Box<dyn FnMut() -> Option<Request<Full<Bytes>>>>,
     /// Time at which the exchange times out. Does not apply once the response is being streamed.
     pub deadline: Instant,
     /// Resolves once the exchange is cancelled. Not observed once the response is being streamed.
     pub cancelled: oneshot::Receiver<()>,
-    /// Duration after which a response that has begun counts as stalled: its head is incomplete for this long
-    /// after its first byte and no interim (1xx) response arrived meanwhile, or no further part of its body
-    /// arrives for this long.
+    /// Duration after which a response that has begun counts as stalled. A head has stalled if it is still
+    /// incomplete this long after its first byte and no interim (1xx) response has arrived meanwhile. A body
+    /// has stalled if no further part of it arrives for this long.
     pub stall_timeout: Duration,
     /// Decides whether the response is streamed.
     pub streaming: StreamingRule,
@@ -63,7 +63,7 @@
     pub on_event: Box<dyn FnMut(ExchangeEvent)>,
 }
 
-/// The progress or the result of an exchange.
+/// Reports that a stream has started or that an exchange has ended.
 #[derive(Debug)]
 pub enum ExchangeEvent {
     /// Final event: the response has been read completely.
@@ -81,17 +81,19 @@
 pub enum ExchangeFailure {
     /// No pooled connection was reusable, and the limit on open connections did not allow a new one.
     DescriptorsExhausted,
-    /// The exchange was cancelled before the request was written completely, or its client no longer waited
-    /// for the response. The node has not started the request, and the failure does not indicate a fault of
-    /// the node.
+    /// The gateway stopped the exchange before the request was written completely, because the exchange was
+    /// cancelled or the client no longer waited for the response. The node has not started the request, and
+    /// the failure does not indicate a fault of the node.
     NotStarted,
-    /// Before the request was written completely, the connection could not be established, the connection
-    /// failed, or the deadline passed. The node has not started the request.
+    /// The request could not be written completely: the connection was not established in time, it failed,
+    /// or the deadline passed. The node has not started the request, but unlike for
+    /// [`NotStarted`](Self::NotStarted), the node may be unreachable.
     NotDelivered,
     /// The connection failed after the request was written completely, or reading a streamed body failed.
     ConnectionReset,
-    /// The response is not valid HTTP, is too long, or stalled before it was complete. The node has run the
-    /// request, and only this connection is unusable.
+    /// The response is not valid HTTP, its head or body is too long, or it stalled. A streamed body that
+    /// stalls is a [`TimedOut`](Self::TimedOut) instead. The node has responded and may have run the request;
+    /// only this connection is unusable.
     MalformedResponse,
     /// The request was written completely, but no complete response arrived before the deadline, or a
     /// streamed body stalled.
@@ -119,7 +121,7 @@
     pub(super) connection_reusable: bool,
 }
 
-/// The body of a streamed response. It ends with an error if the node's response breaks off.
+/// The body of a streamed response. It ends with an error if the node does not send the complete body.
 #[derive(Debug)]
 pub struct StreamedBody(mpsc::Receiver<io::Result<Bytes>>);
 
--- a/src/transport/exchange/runner.rs
+++ b/src/transport/exchange/runner.rs
@@ -25,11 +25,12 @@
     connection: &mut NodeConnection,
     request: Request<Full<Bytes>>,
 ) -> ExchangeEnd {
-    match receive_response(exchange, connection, request).await {
+    match send_and_receive(exchange, connection, request).await {
         Ok(event) => ExchangeEnd { event, connection_reusable: true },
         Err(failure) => {
             let failure = match failure {
-                // The request was abandoned before its last byte was written, so the node has not started it.
+                // The exchange timed out or was cancelled before the last byte of the request was written, so
+                // the node has not started the request.
                 ExchangeFailure::TimedOut if !connection.is_request_written() => {
                     ExchangeFailure::NotDelivered
                 }
@@ -41,18 +42,18 @@
     }
 }
 
-/// Receives the response and returns the final event once it is complete.
-async fn receive_response(
+/// Sends the request and receives the response. Returns the final event once the response is complete.
+async fn send_and_receive(
     exchange: &mut Exchange,
     connection: &mut NodeConnection,
     request: Request<Full<Bytes>>,
 ) -> Result<ExchangeEvent, ExchangeFailure> {
-    let (head, body) = receive_head(exchange, connection, request).await?.into_parts();
+    let (head, body) = send_and_receive_head(exchange, connection, request).await?.into_parts();
     let body_len = body.size_hint().lower();
     if exchange.streaming.applies(body_len, head.status, &head.headers) {
         return stream_body(exchange, head, body).await;
     }
-    // A body whose `Content-Length` is too long is rejected without being read.
+    // A body whose `Content-Length` exceeds the limit is rejected without being read.
     if body_len > exchange.max_body_len as u64 {
         return Err(ExchangeFailure::MalformedResponse);
     }
@@ -60,7 +61,8 @@
     Ok(ExchangeEvent::Completed(Response::from_parts(head, body)))
 }
 
-async fn receive_head(
+/// Sends the request and receives the head of the response.
+async fn send_and_receive_head(
     exchange: &mut Exchange,
     connection: &mut NodeConnection,
     mut request: Request<Full<Bytes>>,
@@ -70,7 +72,8 @@
     hyper::ext::on_informational(&mut request, move |_| interim_flag.store(true, Ordering::Relaxed));
     let read_activity = connection.reset_read_activity();
     let mut response = pin!(connection.send_request(request));
-    // Without this limit, a response whose head stalls would occupy the request until its deadline.
+    // Set when the first byte of the head arrives, so that a head that stalls fails the exchange before its
+    // deadline.
     let mut stall_deadline: Option<Instant> = None;
     loop {
         tokio::select! {
@@ -84,8 +87,8 @@
             () = tokio::time::sleep_until(stall_deadline.unwrap_or(exchange.deadline)),
                 if stall_deadline.is_some() =>
             {
-                // An interim (1xx) response announces a final response but not its time: the stall timeout
-                // starts again with the next byte.
+                // After an interim (1xx) response, the final response may take any time. The stall timeout is
+                // therefore disarmed until the next byte arrives.
                 if !interim_received.swap(false, Ordering::Relaxed) {
                     return Err(ExchangeFailure::MalformedResponse);
                 }
@@ -119,8 +122,8 @@
 
 /// Forwards the body to the client as it arrives.
 ///
-/// The whole body comes from this one attempt: if it breaks off, the response to the client breaks off before
-/// its `Content-Length` as well, and must not be continued from another attempt.
+/// A streamed body is never continued from another exchange. If the node does not send the complete body, the
+/// response to the client also ends before its `Content-Length`.
 async fn stream_body(
     exchange: &mut Exchange,
     head: response::Parts,
@@ -152,8 +155,8 @@
     }
 }
 
-/// Ends a streamed body with an error, so that the response to the client breaks off.
+/// Ends a streamed body with an error, so that the response to the client ends before its `Content-Length`.
 async fn abort_stream(chunks: &mpsc::Sender<io::Result<Bytes>>) {
-    // Sending fails only if the client has disconnected as well; the stream has then already ended.
+    // Sending fails only if the client has disconnected as well, so that the stream has already ended.
     let _ = chunks.send(Err(io::ErrorKind::ConnectionReset.into())).await;
 }
--- a/src/transport/lifecycle.rs
+++ b/src/transport/lifecycle.rs
@@ -11,6 +11,6 @@
     Draining,
     /// Each response closes its connection, by `Connection: close`.
     FinalResponses,
-    /// Connections that are idle are closed as well.
+    /// Idle connections are closed as well.
     ClosingIdle,
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -6,7 +6,7 @@
 //! - `lifecycle`: the phases of the graceful shutdown;
 //! - `client_connection`: serves the requests of one connection and closes it;
 //! - `client_stream`: the socket of a client connection, with a read-ahead buffer and a write timeout;
-//! - `connection_table`: tracks the state of each connection and evicts connections when the table is full;
+//! - `connection_table`: tracks the state of each connection and evicts connections at the serving limit;
 //! - `request_framing`: detects requests with both `Content-Length` and `Transfer-Encoding`;
 //! - `body`: response bodies.
 //!
--- a/src/transport/request_framing/mod.rs
+++ b/src/transport/request_framing/mod.rs
@@ -15,7 +15,7 @@
     RequestLine,
     /// The header fields, or the blank line after them.
     HeaderFields,
-    /// The body.
+    /// The body of a request that has a `Content-Length` and is not chunked.
     Body {
         /// Number of bytes of the body that have not been received yet.
         remaining: u64,
@@ -34,7 +34,7 @@
     content_length: Option<u64>,
     /// Whether the head being read has a `Transfer-Encoding`.
     chunked: bool,
-    /// Whether the last complete head had both headers.
+    /// Whether the last complete head had both `Content-Length` and `Transfer-Encoding`.
     conflicting_length: bool,
 }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// Interval at which connections are checked for eviction while the connection table is full.
+/// Interval at which connections are checked for eviction while the serving limit is reached.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
 /// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
@@ -24,7 +24,8 @@
 /// Maximum numbers of open connections of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Maximum number of connections whose requests are served.
+    /// The serving limit: requests are served as long as no more connections than this are open. A connection
+    /// that has been admitted once is served until it is closed.
     pub max_served: usize,
     /// Maximum number of additional connections, whose requests are rejected because of overload.
     pub max_rejected: usize,
@@ -55,19 +56,19 @@
     let mut connections = JoinSet::new();
     let mut draining = pin!(wait_for_draining(phase.clone()));
     loop {
-        // Guards against hundreds of silent connections: they would fill the table, and clients with
-        // requests would wait in the kernel's accept queue.
+        // Guards against hundreds of connections without requests. They would use up the limits, and clients
+        // with requests would wait in the kernel's accept queue.
         table.evict_stale();
         let accepted = tokio::select! {
             biased;
             accepted = accept(&listener, &permits) => accepted,
             Some(_) = connections.join_next() => continue,
             () = &mut draining => break,
-            () = tokio::time::sleep(EVICTION_INTERVAL), if table.is_full() => continue,
+            () = tokio::time::sleep(EVICTION_INTERVAL), if table.is_serving_limit_reached() => continue,
         };
         let Ok(AcceptedConnection { stream, permit }) = accepted else {
             // The process has run out of descriptors, or the client disconnected before it was accepted.
-            // Neither may stop the listener or make it spin.
+            // Neither may stop the listener or cause a busy loop.
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
