--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -49,8 +49,8 @@
 }
 
 impl EndpointRecord {
-    /// Converts the record for the scheduler. The zone's number is the position of its name in `zones`; a
-    /// zone that is not in `zones` gets the number after the last.
+    /// Converts the record to the scheduler's type. The zone's number is the position of its name in `zones`,
+    /// or `zones.len()` if `zones` does not contain the name.
     pub fn to_endpoint(&self, zones: &[String]) -> Endpoint {
         let zone = zones.iter().position(|zone| *zone == self.zone).unwrap_or(zones.len());
         Endpoint {
--- a/src/protocol/inventory/csv.rs
+++ b/src/protocol/inventory/csv.rs
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error for each required column that is missing, or an error for the first malformed row.
+/// Returns a fault for each required column that is missing, or a fault for the first malformed row.
 pub fn decode_rows(text: &str) -> Result<Vec<Row>, Vec<InventoryFault>> {
     let mut reader =
         csv::ReaderBuilder::new().trim(csv::Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
@@ -23,12 +23,12 @@
 
 fn check_columns(header: &csv::StringRecord) -> Result<(), Vec<InventoryFault>> {
     let is_missing = |column: &&str| !header.iter().any(|present| present == *column);
-    let errors: Vec<_> = REQUIRED_COLUMNS
+    let faults: Vec<_> = REQUIRED_COLUMNS
         .into_iter()
         .filter(is_missing)
         .map(|column| InventoryFault::new(1, column, "the header has no such column"))
         .collect();
-    if errors.is_empty() { Ok(()) } else { Err(errors) }
+    if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
 fn decode_row(header: &csv::StringRecord, record: &csv::StringRecord) -> Row {
--- a/src/protocol/inventory/mod.rs
+++ b/src/protocol/inventory/mod.rs
@@ -44,8 +44,8 @@
 pub struct InventoryFault {
     /// Line number, from 1.
     pub line: usize,
-    /// Name of the column, variable or group with the fault; `row` or `document` if the file cannot be parsed
-    /// there.
+    /// Name of the column, variable or group with the fault; `row` (CSV) or `document` (YAML) if the file
+    /// cannot be parsed at this line.
     pub field: String,
     /// Description of the fault.
     pub message: String,
@@ -96,12 +96,12 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file is malformed or any of its nodes is invalid. The faults of all invalid nodes
-/// are returned together.
+/// Returns the faults of the file if it is malformed or any of its nodes is invalid. The faults of all
+/// invalid nodes are returned together.
 pub fn decode(text: &str, format: Format) -> Result<Vec<InventoryNode>, Vec<InventoryFault>> {
     let rows = match format {
         Format::Csv => csv::decode_rows(text)?,
-        Format::Yaml => yaml::decode_rows(text).map_err(|error| vec![error])?,
+        Format::Yaml => yaml::decode_rows(text).map_err(|fault| vec![fault])?,
     };
     validation::validate(rows)
 }
--- a/src/protocol/inventory/validation.rs
+++ b/src/protocol/inventory/validation.rs
@@ -20,14 +20,14 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file contains no node, or the faults of all nodes if any node is invalid.
+/// Returns the faults of all invalid nodes, or a single fault if the file contains no node.
 pub fn validate(rows: Vec<Row>) -> Result<Vec<InventoryNode>, Vec<InventoryFault>> {
     let mut validator = Validator::default();
     if rows.is_empty() {
-        validator.errors.push(InventoryFault::new(1, "hosts", "the inventory names no host"));
+        validator.faults.push(InventoryFault::new(1, "hosts", "the inventory names no host"));
     }
     let nodes = rows.iter().filter_map(|row| validator.validate_node(row)).collect();
-    if validator.errors.is_empty() { Ok(nodes) } else { Err(validator.errors) }
+    if validator.faults.is_empty() { Ok(nodes) } else { Err(validator.faults) }
 }
 
 /// The names and addresses of the rows validated so far, and the faults found in them.
@@ -35,7 +35,7 @@
 struct Validator {
     names: BTreeSet<String>,
     addresses: BTreeSet<SocketAddr>,
-    errors: Vec<InventoryFault>,
+    faults: Vec<InventoryFault>,
 }
 
 impl Validator {
@@ -43,12 +43,12 @@
     /// after a fault, so that the operator sees all faults at once.
     fn validate_node(&mut self, row: &Row) -> Option<InventoryNode> {
         let name = self.validate_name(row);
-        let name = self.record_error(name);
+        let name = self.record_fault(name);
         let address = self.validate_address(row);
-        let address = self.record_error(address);
-        let rack = self.record_error(validate_rack(row));
-        let state = self.record_error(validate_state(row));
-        let started_at_us = self.record_error(validate_start(row));
+        let address = self.record_fault(address);
+        let rack = self.record_fault(validate_rack(row));
+        let state = self.record_fault(validate_state(row));
+        let started_at_us = self.record_fault(validate_start(row));
         Some(InventoryNode {
             name: name?,
             address: address?,
@@ -59,8 +59,8 @@
         })
     }
 
-    fn record_error<T>(&mut self, result: Result<T, InventoryFault>) -> Option<T> {
-        result.map_err(|error| self.errors.push(error)).ok()
+    fn record_fault<T>(&mut self, result: Result<T, InventoryFault>) -> Option<T> {
+        result.map_err(|fault| self.faults.push(fault)).ok()
     }
 
     fn validate_name(&mut self, row: &Row) -> Result<String, InventoryFault> {
--- a/src/protocol/inventory/yaml.rs
+++ b/src/protocol/inventory/yaml.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error for the first malformed part of the file.
+/// Returns a fault for the first malformed part of the file.
 pub fn decode_rows(text: &str) -> Result<Vec<Row>, InventoryFault> {
     let documents = MarkedYaml::load_from_str(text)
         .map_err(|error| InventoryFault::new(error.marker().line(), "document", error.to_string()))?;
@@ -31,7 +31,7 @@
     depth: usize,
     host: String,
     line: usize,
-    /// The variables of the group and of its ancestors. Those of the group take precedence.
+    /// The variables of the group and of its ancestors. The group's own variables take precedence.
     group_vars: Fields,
     /// The variables that the entry itself sets for the host.
     host_vars: Fields,
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -222,6 +222,7 @@
 struct WireRules {
     #[serde(rename = "askWithinUs")]
     max_poll_interval_us: u64,
+    /// Minimum capacity with which a node starts, as a fraction of its full capacity.
     #[serde(rename = "coldFrom")]
     initial_capacity: f64,
     drain_grace_us: u64,
@@ -377,7 +378,7 @@
     }
 }
 
-/// Converts a number that is 0 on the wire if the platform does not specify it.
+/// Returns `None` if the number is 0, which means on the wire that the platform does not specify it.
 fn nonzero(number: u64) -> Option<u64> {
     (number > 0).then_some(number)
 }
--- a/src/transport/node_connection/write_progress/mod.rs
+++ b/src/transport/node_connection/write_progress/mod.rs
@@ -1,7 +1,7 @@
 //! Tracks how much of the current request has been written to the socket.
 //!
-//! When a request fails, hyper does not report whether its last byte had been written. The node may have run
-//! the request only if it had.
+//! When a request fails, hyper does not report whether the last byte of the request was written. The node may
+//! have run the request only if that byte was written.
 
 use std::cell::Cell;
 
--- a/src/transport/request_framing/mod.rs
+++ b/src/transport/request_framing/mod.rs
@@ -30,7 +30,8 @@
     state: ParserState,
     /// The beginning of the line being read, at most [`MAX_STORED_LINE_LEN`] bytes.
     line: Vec<u8>,
-    /// `Content-Length` of the head being read, if it has been read already; 0 if it is not a valid number.
+    /// Value of `Content-Length` in the head being read; `None` if the header has not been read, 0 if its
+    /// value is not a valid number.
     content_length: Option<u64>,
     /// Whether the head being read has a `Transfer-Encoding`.
     chunked: bool,
