--- a/src/routing/clock.rs
+++ b/src/routing/clock.rs
@@ -28,8 +28,8 @@
         self.origin_unix_us + self.origin.elapsed().as_micros() as u64
     }
 
-    /// Returns the instant at which the clock reaches `time_us`. For a time before the clock's
-    /// start, returns its start; for a time more than one day ahead, returns the instant one day from now.
+    /// Returns the instant at which the clock reaches `time_us`. For a time before the clock's start, returns
+    /// its start; for a time more than one day ahead, returns the instant one day from now.
     pub fn instant_at(&self, time_us: u64) -> Instant {
         let max_offset_us = self.now_us() - self.origin_unix_us + MAX_TIMER_DELAY_US;
         let offset_us = time_us.saturating_sub(self.origin_unix_us).min(max_offset_us);
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -23,8 +23,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// Maximum duration of lingering: bytes from the client are read and discarded before its connection is
-/// closed.
+/// Maximum duration of a lingering close, in which bytes from the client are read and discarded before its
+/// connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Duration without input from the client after which lingering ends early.
 const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -134,7 +134,7 @@
     }
 
     /// Runs hyper's connection until it ends. Also ends it if the client disconnects during a request, if the
-    /// connection times out or is evicted, or, late in a graceful shutdown, as soon as it is idle.
+    /// connection times out or is evicted, or, from [`LifecyclePhase::ClosingIdle`] on, once it is idle.
     async fn drive<H>(&self, connection: &mut http1::Connection<TokioIo<ClientStream>, H>) -> ConnectionEnd
     where
         H: HttpService<Incoming, ResBody = ResponseBody, Error = Infallible> + Unpin,
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -14,11 +14,12 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// Duration after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Minimum age of a connection that has not received a byte before it can be evicted.
+/// Duration after which a new connection can be evicted if its client has not sent a byte.
 const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(50);
-/// Minimum time since the first byte of an incomplete head before a connection can be evicted.
+/// Duration from the first byte of a request head after which the connection can be evicted if the head is
+/// still incomplete.
 const MIN_HEAD_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(1);
-/// Minimum idle time before a connection can be evicted.
+/// Duration after which an idle connection can be evicted.
 const MIN_IDLE_TIME_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -210,7 +211,7 @@
     /// Evicts connections if the serving limit is reached.
     ///
     /// First evicts every connection that was accepted at least [`MIN_SILENCE_BEFORE_EVICTION`] ago and has
-    /// not received a byte, and every connection whose head has been incomplete for at least
+    /// not received a byte, and every connection whose request head has been incomplete for at least
     /// [`MIN_HEAD_TIME_BEFORE_EVICTION`]. If the serving limit still does not allow one more connection,
     /// evicts the longest idle connections until it does, except those that have been idle for less than
     /// [`MIN_IDLE_TIME_BEFORE_EVICTION`].
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -85,9 +85,9 @@
     /// cancelled or the client no longer waited for the response. The node has not started the request, and
     /// the failure does not indicate a fault of the node.
     NotStarted,
-    /// The request could not be written completely: the connection was not established in time, it failed,
-    /// or the deadline passed. The node has not started the request, but unlike for
-    /// [`NotStarted`](Self::NotStarted), the node may be unreachable.
+    /// The request could not be written completely, because the connection could not be established, the
+    /// connection failed, or the deadline passed. The node has not started the request. Unlike
+    /// [`NotStarted`](Self::NotStarted), this may indicate a fault of the node.
     NotDelivered,
     /// The connection failed after the request was written completely, or reading a streamed body failed.
     ConnectionReset,
--- a/src/transport/node_connection/mod.rs
+++ b/src/transport/node_connection/mod.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Maximum length of a response head, in bytes. A longer head fails the exchange, which guards against heads
+/// Maximum length of a response head, in bytes. A longer head fails the request, which guards against heads
 /// that never end.
 const MAX_HEAD_LEN: usize = 16 * 1024;
 
@@ -39,7 +39,7 @@
 }
 
 impl SendError {
-    /// Converts an error that occurred after the request was written completely.
+    /// Classifies an error that occurred after the request was written completely.
     pub(super) fn from_receive_error(error: &hyper::Error) -> Self {
         if is_malformed(error) { SendError::MalformedResponse } else { SendError::ConnectionReset }
     }
