--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -49,8 +49,8 @@
 }
 
 impl EndpointRecord {
-    /// Converts the record for the scheduler. The zone's number is the position of its name in `zone_names`;
-    /// a zone that is not in `zone_names` gets the number after the last.
+    /// Converts the record to the scheduler's type. The zone's number is the position of its name in
+    /// `zone_names`, or `zone_names.len()` if `zone_names` does not contain the name.
     pub fn to_endpoint(&self, zone_names: &[String]) -> Endpoint {
         let zone = zone_names.iter().position(|zone| *zone == self.zone).unwrap_or(zone_names.len());
         Endpoint {
