--- a/src/bin/scheduler-simulator-adapter/wire.rs
+++ b/src/bin/scheduler-simulator-adapter/wire.rs
@@ -103,7 +103,7 @@
     #[serde(default, rename = "contract")]
     plan: usize,
     #[serde(default, rename = "nHosts")]
-    volume_gateways: f64,
+    volume_gateway_count: f64,
     #[serde(rename = "blockKey")]
     block: Option<String>,
     #[serde(rename = "expiresUs")]
@@ -134,7 +134,7 @@
             class: ClassIndex(self.class),
             plan: PlanIndex(self.plan),
             volume: VolumeId(volume),
-            volume_gateways: self.volume_gateways,
+            volume_gateway_count: self.volume_gateway_count,
             block: block.map(BlockId),
             shard: shard.map(|shard| ShardId(shard as u32)),
             units: self.units,
@@ -190,7 +190,7 @@
             request: RequestId(self.request),
             outcome: parse_outcome(&self.status),
             latency_us: self.latency_us,
-            complete: self.complete,
+            is_final: self.complete,
             node: self.node.as_str().into(),
             volume_rate_percent: is_metered.then_some(self.volume_rate_percent_plus_one - 1.0),
             units_via_other_gateways: self.units_via_other_gateways,
--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -69,7 +69,7 @@
     fn from(error: InventoryReadError) -> Self {
         let text = error.to_string();
         let places = match error {
-            InventoryReadError::Invalid { errors, .. } => json!(errors),
+            InventoryReadError::Invalid { faults, .. } => json!(faults),
             InventoryReadError::UnknownFormat { .. } | InventoryReadError::Unreadable { .. } => json!([]),
         };
         let body = json!({"error": text, "places": places});
@@ -78,7 +78,7 @@
 }
 
 impl Frontend for AdminFrontend {
-    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
+    async fn handle(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
         let AdminResponse { status, body } = match context.admission {
             Admission::Admitted => self.serve(request).await,
             Admission::Overloaded => {
--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -78,7 +78,7 @@
 
     fn decode(text: &str, config_dir: &Path) -> Result<ObjectGatewayConfig, ObjectConfigError> {
         let file = parse(text)?;
-        let admin_token_hash = parse_admin_token(&file.admin)?;
+        let admin_token_hash = validate_admin(&file.admin)?;
         validate_object(&file.object)?;
         validate_classes(&file.classes)?;
         validate_plans(&file.plans)?;
@@ -113,8 +113,9 @@
     })
 }
 
-/// Returns the hash of the administration API's token. Checks that the API listens on a loopback address.
-fn parse_admin_token(admin: &AdminSection) -> Result<TokenHash, ObjectConfigError> {
+/// Validates the section of the administration API and returns the hash of the API's token. The API must
+/// listen on a loopback address.
+fn validate_admin(admin: &AdminSection) -> Result<TokenHash, ObjectConfigError> {
     if !admin.listen.ip().is_loopback() {
         return Err(ObjectConfigError::AdminNotLoopback);
     }
--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -27,16 +27,16 @@
 /// Fraction of the priority weight that an answer past the latency objective earns: the smallest `lateValue`
 /// in the Wire page's example.
 const LATE_WEIGHT_FACTOR: f64 = 0.1;
-/// Fraction of its priority weight that a unit beyond the reservation but within the fair share earns:
-/// `withinShare` in the Wire page's example.
-const FAIR_SHARE_WEIGHT_FACTOR: f64 = 0.35;
+/// Factor by which the priority weight of requests beyond the reservation is multiplied: `withinShare` in the
+/// Wire page's example, which is meant for units beyond the reservation but within the fair share.
+const UNRESERVED_WEIGHT_FACTOR: f64 = 0.35;
 
 /// Returns the scheduler's settings for a file that has been validated.
 pub fn scheduler_settings(file: &ObjectConfigFile) -> SchedulerSettings {
     let write = &file.classes.write;
     let write_idempotency = Idempotency::WithKey {
         scope: DeduplicationScope::Shard,
-        window_us: write.deduplication_window_ms * 1_000,
+        deduplication_window_us: write.deduplication_window_ms * 1_000,
     };
     SchedulerSettings {
         // Ordered by the numbers of `ObjectClass`.
@@ -50,7 +50,7 @@
         batch_interval_us: BATCH_INTERVAL_US,
         max_attempts: Some(MAX_ATTEMPTS),
         connect_timeout_us: CONNECT_TIMEOUT_US,
-        cancellation: true,
+        nodes_honor_cancellation: true,
         max_retry_after_us: Some(MAX_RETRY_AFTER_US),
         answer_grace_us: ANSWER_GRACE_US,
         // The inventory actor pushes changes to the endpoint list.
@@ -63,9 +63,9 @@
         ordering_gap_us: 0,
         mean_request_units: MEAN_REQUEST_UNITS,
         max_request_units: MAX_REQUEST_UNITS as f64,
-        fair_share_weight_factor: FAIR_SHARE_WEIGHT_FACTOR,
+        unreserved_weight_factor: UNRESERVED_WEIGHT_FACTOR,
         metering_period_us: None,
-        reports_other_gateways: false,
+        nodes_report_other_gateways: false,
     }
 }
 
@@ -76,7 +76,7 @@
         priority_weight: class.priority_weight,
         late_weight_factor: LATE_WEIGHT_FACTOR,
         idempotency,
-        ordered_by_key: false,
+        ordered_by_block: false,
         objective_stretch: 0.0,
     }
 }
--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -57,7 +57,7 @@
     /// No connection could be established, or it failed before a response was received.
     ConnectionFailed,
     /// The status of the response is not 200, or its body is incomplete or longer than [`MAX_LIST_LEN`].
-    NotAList,
+    UnusableResponse,
 }
 
 /// The state of a sequence of polls, which ends when a poll fails.
@@ -66,7 +66,7 @@
     /// The connection of the last poll, for reuse; `None` if that poll received no complete response.
     idle_connection: Option<NodeConnection>,
     /// Whether the last poll was a watch that timed out. A second timeout in a row ends the session.
-    timed_out: bool,
+    last_watch_timed_out: bool,
 }
 
 /// The actor that polls discovery and forwards endpoint lists to the node registry and the router.
@@ -141,12 +141,12 @@
             };
             match polled {
                 Ok(list) => {
-                    session.timed_out = false;
+                    session.last_watch_timed_out = false;
                     *version = Some(list.version);
                     self.publish(&list);
                 }
-                Err(PollError::WatchTimedOut) if !session.timed_out => {
-                    session.timed_out = true;
+                Err(PollError::WatchTimedOut) if !session.last_watch_timed_out => {
+                    session.last_watch_timed_out = true;
                     self.router.endpoints_updated(EndpointUpdate::PollFailed);
                 }
                 Err(_) => return,
@@ -173,7 +173,7 @@
         let timeout = if version.is_some() { self.watch_wait + CALL_TIMEOUT } else { CALL_TIMEOUT };
         match tokio::time::timeout(timeout, self.fetch_list(idle_connection, version)).await {
             Ok(Ok(body)) => self.decode_list(&body),
-            Ok(Err(FetchError::ConnectionFailed | FetchError::NotAList)) => {
+            Ok(Err(FetchError::ConnectionFailed | FetchError::UnusableResponse)) => {
                 self.metrics.list_failures.increment();
                 Err(PollError::CallFailed)
             }
@@ -231,13 +231,13 @@
         address: SocketAddr,
         version: Option<u64>,
     ) -> Result<Bytes, FetchError> {
-        let request = endpoint_list::watch_request(address, version, self.watch_wait);
+        let request = endpoint_list::list_request(address, version, self.watch_wait);
         let response = connection.send_request(request).await.map_err(|_| FetchError::ConnectionFailed)?;
         if response.status() != hyper::StatusCode::OK {
-            return Err(FetchError::NotAList);
+            return Err(FetchError::UnusableResponse);
         }
         let Ok(body) = Limited::new(response.into_body(), MAX_LIST_LEN).collect().await else {
-            return Err(FetchError::NotAList);
+            return Err(FetchError::UnusableResponse);
         };
         *idle_connection = Some(connection);
         Ok(body.to_bytes())
--- a/src/gateway/frontend.rs
+++ b/src/gateway/frontend.rs
@@ -14,7 +14,7 @@
 /// Serves the requests of one listener.
 pub trait Frontend {
     /// Handles one request and returns the response to send. Errors are converted to responses as well.
-    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody>;
+    async fn handle(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody>;
 }
 
 /// Time that is subtracted from a client's deadline, in microseconds. It covers the transfer of the response
--- a/src/gateway/inventory/actor.rs
+++ b/src/gateway/inventory/actor.rs
@@ -123,7 +123,7 @@
             name: node.name.clone(),
             address: node.address,
             zone: node.zone.clone(),
-            shard: self.racks.shard(&node.rack),
+            shard: self.racks.shard_for_rack(&node.rack),
             state: self.state(node),
             started_at_us: node.started_at_us,
         }
--- a/src/gateway/inventory/file.rs
+++ b/src/gateway/inventory/file.rs
@@ -21,17 +21,17 @@
         source: std::io::Error,
     },
     /// The content of the file is invalid.
-    #[error("{path}: {places}", places = join_errors(.errors))]
+    #[error("{path}: {places}", places = join_faults(.faults))]
     Invalid {
         /// Path of the inventory file.
         path: String,
         /// All faults in the file.
-        errors: Vec<InventoryFault>,
+        faults: Vec<InventoryFault>,
     },
 }
 
-fn join_errors(errors: &[InventoryFault]) -> String {
-    errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
+fn join_faults(faults: &[InventoryFault]) -> String {
+    faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
 /// Reads and validates an inventory file, whose format follows from its extension.
@@ -46,7 +46,7 @@
     };
     match std::fs::read_to_string(path) {
         Ok(text) => inventory::decode(&text, format)
-            .map_err(|errors| InventoryReadError::Invalid { path: name, errors }),
+            .map_err(|faults| InventoryReadError::Invalid { path: name, faults }),
         Err(source) => Err(InventoryReadError::Unreadable { path: name, source }),
     }
 }
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -137,11 +137,13 @@
 /// Returns the outcome of an attempt whose exchange failed.
 fn outcome_of_failure(failure: ExchangeFailure) -> AttemptOutcome {
     match failure {
-        ExchangeFailure::DescriptorsExhausted | ExchangeFailure::NotStarted => AttemptOutcome::NotSent,
-        ExchangeFailure::NotDelivered => AttemptOutcome::ConnectFailed,
+        ExchangeFailure::DescriptorsExhausted | ExchangeFailure::CancelledBeforeSent => {
+            AttemptOutcome::NotSent
+        }
+        ExchangeFailure::RequestNotWritten => AttemptOutcome::ConnectFailed,
         ExchangeFailure::ConnectionReset => AttemptOutcome::ConnectionReset,
         // The node responded, so the node itself is healthy: only this response is unusable.
-        ExchangeFailure::MalformedResponse => AttemptOutcome::Failed,
+        ExchangeFailure::InvalidResponse => AttemptOutcome::Failed,
         ExchangeFailure::TimedOut => AttemptOutcome::TimedOut,
         ExchangeFailure::Cancelled => AttemptOutcome::Cancelled,
     }
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -27,9 +27,9 @@
             class: class.index(),
             plan: tenant.plan,
             volume: VolumeId(hash_to_u64(&[&tenant.name, &request.bucket])),
-            volume_gateways: self.limits.gateway_count as f64,
+            volume_gateway_count: self.limits.gateway_count as f64,
             block: Some(BlockId(hash_to_u64(&[&tenant.name, &request.bucket, &request.key]))),
-            shard: Some(self.racks.shard(&routed.rack)),
+            shard: Some(self.racks.shard_for_rack(&routed.rack)),
             units: self.units(request, body) as f64,
             expires_at_us,
         })
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -50,11 +50,11 @@
     /// Phase of the graceful shutdown, which the readiness check reports.
     pub phase: watch::Receiver<LifecyclePhase>,
     /// Number from which the id of the next request is made; wraps around after `u64::MAX`.
-    pub next_request_id: Cell<u64>,
+    pub next_request_number: Cell<u64>,
 }
 
 impl Frontend for ObjectFrontend {
-    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
+    async fn handle(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
         let request_id = self.generate_request_id();
         let head_only = request.method() == Method::HEAD;
         let resource = request.uri().path().to_string();
@@ -71,8 +71,8 @@
 
 impl ObjectFrontend {
     fn generate_request_id(&self) -> String {
-        let number = self.next_request_id.get();
-        self.next_request_id.set(number.wrapping_add(1));
+        let number = self.next_request_number.get();
+        self.next_request_number.set(number.wrapping_add(1));
         format!("{number:016x}")
     }
 
--- a/src/gateway/object_frontend/routed_request.rs
+++ b/src/gateway/object_frontend/routed_request.rs
@@ -55,7 +55,7 @@
     /// not authorized or malformed, or if the bucket or the upload is unknown.
     pub(super) fn route(&self, head: Parts, received_at_us: u64) -> Result<RoutedRequest, Rejection> {
         let tenant = bearer_token(&head.headers)
-            .and_then(|token| self.tenants.with_token(token))
+            .and_then(|token| self.tenants.find_by_token(token))
             .ok_or_else(|| self.bad_request(ApiError::access_denied()))?;
         let request = decode(&head).map_err(|error| self.bad_request(error))?;
         if !tenant.volumes.contains(&request.bucket) {
@@ -65,9 +65,10 @@
         // An upload stays on the rack on which it was started, even if the tenant's racks have changed since.
         let rack = match &upload {
             Some(upload) => upload.rack.clone(),
-            None => {
-                tenant.rack(&request.bucket, &request.key).cloned().ok_or_else(ApiError::internal_error)?
-            }
+            None => tenant
+                .rack_for_object(&request.bucket, &request.key)
+                .cloned()
+                .ok_or_else(ApiError::internal_error)?,
         };
         Ok(RoutedRequest { tenant, request, headers: head.headers, upload, rack, received_at_us })
     }
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -56,7 +56,7 @@
 }
 
 impl Frontend for PlatformFrontend {
-    async fn answer(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
+    async fn handle(&self, request: Request<Incoming>, context: RequestContext) -> Response<ResponseBody> {
         let response = match HealthStatus::for_path(request.uri().path(), &self.phase) {
             Some(health) => health.into(),
             None => self.serve(request, context).await.unwrap_or_else(|rejection| self.reject(rejection)),
@@ -95,7 +95,7 @@
             class: parsed.class,
             plan: parsed.plan,
             volume: parsed.volume,
-            volume_gateways: parsed.volume_gateways,
+            volume_gateway_count: parsed.volume_gateway_count,
             block: Some(parsed.block),
             shard: parsed.shard,
             units: parsed.units,
@@ -110,12 +110,13 @@
 
     /// Returns the time at which a request expires, on the router's clock. `client_timeout_us`, less
     /// [`RESPONSE_MARGIN_US`], counts from the call, which follows the receipt of the last byte of the
-    /// request. During a graceful shutdown, the request expires no later than the time by which the shutdown
-    /// requires all answers.
+    /// request. During a graceful shutdown, the request expires no later than the shutdown's response deadline.
     fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
         let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
-        let until_shutdown_us = match self.shutdown.answer_by() {
-            Some(answer_by) => answer_by.saturating_duration_since(Instant::now()).as_micros() as u64,
+        let until_shutdown_us = match self.shutdown.response_deadline() {
+            Some(response_deadline) => {
+                response_deadline.saturating_duration_since(Instant::now()).as_micros() as u64
+            }
             None => timeout_us,
         };
         self.clock.now_us() + timeout_us.min(until_shutdown_us)
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -35,24 +35,24 @@
 /// Safety margin between the time by which all requests must have been answered and the earliest SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(200);
 
-/// Runs the shutdown. Stores the length of the service period and, once the shutdown has started, the time by
-/// which all requests must be answered.
+/// Runs the shutdown. Stores the length of the service period and, once the shutdown has started, the response
+/// deadline.
 pub struct ShutdownSchedule {
     /// Time from the signal until the `FinalResponses` phase starts.
     service_period: Cell<Duration>,
     /// Time by which all requests must be answered; `None` until the shutdown starts.
-    answer_by: Cell<Option<Instant>>,
+    response_deadline: Cell<Option<Instant>>,
 }
 
 impl ShutdownSchedule {
     /// Returns a schedule whose service period is [`ACCEPT_PERIOD`]: the `Draining` phase has no duration.
     pub fn new() -> Self {
-        ShutdownSchedule { service_period: Cell::new(ACCEPT_PERIOD), answer_by: Cell::new(None) }
+        ShutdownSchedule { service_period: Cell::new(ACCEPT_PERIOD), response_deadline: Cell::new(None) }
     }
 
     /// Returns the time by which all requests must be answered, or `None` if the shutdown has not started.
-    pub fn answer_by(&self) -> Option<Instant> {
-        self.answer_by.get()
+    pub fn response_deadline(&self) -> Option<Instant> {
+        self.response_deadline.get()
     }
 
     /// Extends the service period so that all requests are answered [`SIGKILL_MARGIN`] before the platform's
@@ -67,8 +67,9 @@
     /// Starts the shutdown and advances `phase` up to [`LifecyclePhase::ClosingIdle`].
     pub async fn run(&self, phase: &watch::Sender<LifecyclePhase>) {
         let service_period = self.service_period.get();
-        let answer_by = Instant::now() + service_period + FINAL_RESPONSES_PERIOD + CLOSING_IDLE_PERIOD;
-        self.answer_by.set(Some(answer_by));
+        let response_deadline =
+            Instant::now() + service_period + FINAL_RESPONSES_PERIOD + CLOSING_IDLE_PERIOD;
+        self.response_deadline.set(Some(response_deadline));
         phase.send_replace(LifecyclePhase::Terminating);
         tokio::time::sleep(ACCEPT_PERIOD).await;
         phase.send_replace(LifecyclePhase::Draining);
--- a/src/gateway/startup/mod.rs
+++ b/src/gateway/startup/mod.rs
@@ -97,7 +97,7 @@
 ) -> JoinHandle<()> {
     spawn_local(transport::serve(listener, limits, phase, move |request, context| {
         let frontend = frontend.clone();
-        async move { frontend.answer(request, context).await }
+        async move { frontend.handle(request, context).await }
     }))
 }
 
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -53,7 +53,7 @@
         memory: BodyMemory::new(config.body_memory),
         metrics: metrics.clone(),
         phase: phase.clone(),
-        next_request_id: Cell::new(fastrand::u64(..)),
+        next_request_number: Cell::new(fastrand::u64(..)),
     });
     let admin_frontend = Rc::new(AdminFrontend {
         token_hash: config.admin_token_hash,
--- a/src/gateway/tenants/mod.rs
+++ b/src/gateway/tenants/mod.rs
@@ -99,7 +99,7 @@
     /// The rack is selected by rendezvous hashing: it is the one for which the hash of rack, tenant, bucket
     /// and key is highest. All gateways select the same rack, and if a rack is removed, only the objects on
     /// that rack migrate.
-    pub fn rack(&self, bucket: &str, key: &str) -> Option<&String> {
+    pub fn rack_for_object(&self, bucket: &str, key: &str) -> Option<&String> {
         self.racks.iter().max_by_key(|rack| hash_fields(&[rack.as_str(), &self.name, bucket, key]))
     }
 }
@@ -171,7 +171,7 @@
 
     /// Returns the tenant with this token. Compares hashes instead of tokens, so that the duration of the
     /// comparison reveals nothing about the tokens.
-    pub fn with_token(&self, token: &str) -> Option<Rc<Tenant>> {
+    pub fn find_by_token(&self, token: &str) -> Option<Rc<Tenant>> {
         let token_hash = TokenHash::of(token);
         self.tenants.borrow().values().find(|tenant| tenant.token_hash == token_hash).cloned()
     }
--- a/src/protocol/client_request.rs
+++ b/src/protocol/client_request.rs
@@ -80,7 +80,7 @@
     pub volume: VolumeId,
     /// Number of gateways that receive requests for the volume, from `IO-Info` (`hosts`); finite and not
     /// negative.
-    pub volume_gateways: f64,
+    pub volume_gateway_count: f64,
     /// Number of the block to read or write, from the last segment of the path (16 hex digits).
     pub block: BlockId,
     /// The shard that stores the block; `None` for a new object, for which the shard in `IO-Info` is
@@ -114,9 +114,9 @@
     let plan = parse_plan(head, names)?;
     let timeout_us = parse_deadline(head)?;
     let io_info = IoInfo::parse(single_header(&head.headers, "io-info")?);
-    let IoInfo { volume, volume_gateways, shard, units } =
+    let IoInfo { volume, volume_gateway_count, shard, units } =
         io_info.ok_or(RequestError::InvalidHeader("io-info"))?;
-    Ok(ParsedRequest { class, plan, volume, volume_gateways, block, shard, units, timeout_us })
+    Ok(ParsedRequest { class, plan, volume, volume_gateway_count, block, shard, units, timeout_us })
 }
 
 fn check_method(head: &Parts) -> Result<(), RequestError> {
@@ -184,7 +184,7 @@
 /// The fields of the `IO-Info` header, such as `volume=…, units=2, shard=0, hosts=3`.
 struct IoInfo {
     volume: VolumeId,
-    volume_gateways: f64,
+    volume_gateway_count: f64,
     shard: Option<ShardId>,
     units: f64,
 }
@@ -193,14 +193,14 @@
     /// Parses the value of the header; returns `None` if a field is missing or malformed. Unknown fields are
     /// ignored.
     fn parse(text: &str) -> Option<IoInfo> {
-        let (mut volume, mut volume_gateways, mut shard, mut units) = (None, None, None, None);
+        let (mut volume, mut volume_gateway_count, mut shard, mut units) = (None, None, None, None);
         for (name, value) in text.split(',').filter_map(|field| field.split_once('=')) {
             let value = value.trim();
             match name.trim() {
                 "volume" => volume = parse_hex(value),
                 "units" => units = parse_finite(value).filter(|units| *units > 0.0),
                 "shard" => shard = value.parse::<i64>().ok(),
-                "hosts" => volume_gateways = parse_finite(value).filter(|gateways| *gateways >= 0.0),
+                "hosts" => volume_gateway_count = parse_finite(value).filter(|gateways| *gateways >= 0.0),
                 _ => {}
             }
         }
@@ -209,7 +209,12 @@
             ..=-1 => None,
             number => Some(ShardId(u32::try_from(number).ok()?)),
         };
-        Some(IoInfo { volume: VolumeId(volume?), volume_gateways: volume_gateways?, shard, units: units? })
+        Some(IoInfo {
+            volume: VolumeId(volume?),
+            volume_gateway_count: volume_gateway_count?,
+            shard,
+            units: units?,
+        })
     }
 }
 
--- a/src/protocol/endpoint_list.rs
+++ b/src/protocol/endpoint_list.rs
@@ -75,7 +75,7 @@
 /// A complete endpoint list, or a list of changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// Version of the list, to pass to [`watch_request`] for later changes.
+    /// Version of the list, to pass to [`list_request`] for later changes.
     pub version: u64,
     /// Whether `endpoints` contains all endpoints or only those that changed.
     pub kind: ListKind,
@@ -134,7 +134,7 @@
 
 /// Encodes a request to discovery for the changes after version `after`, or for the complete list if `after`
 /// is `None`. Discovery responds to a request for changes once there are any, after at most `wait`.
-pub fn watch_request(discovery: SocketAddr, after: Option<u64>, wait: Duration) -> Request<Full<Bytes>> {
+pub fn list_request(discovery: SocketAddr, after: Option<u64>, wait: Duration) -> Request<Full<Bytes>> {
     let query =
         after.map_or(String::new(), |version| format!("?after={version}&wait_ms={}", wait.as_millis()));
     let mut request = Request::new(Full::default());
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -184,7 +184,7 @@
     #[serde(rename = "coldBears")]
     slow_start_units: Option<f64>,
     #[serde(rename = "saysOthers")]
-    reports_other_gateways: bool,
+    nodes_report_other_gateways: bool,
     #[serde(rename = "unitsTop")]
     max_request_units: f64,
     /// 0 if nodes do not report the total rate of a volume.
@@ -196,7 +196,7 @@
     #[serde(rename = "usualUnits")]
     mean_request_units: f64,
     #[serde(rename = "withinShare")]
-    fair_share_weight_factor: f64,
+    unreserved_weight_factor: f64,
 }
 
 /// Limits on attempts, connections and retry delays, and optional capabilities: whether storage nodes honor
@@ -206,7 +206,7 @@
 #[serde(rename_all = "camelCase", default)]
 struct WireLimits {
     #[serde(rename = "cancel")]
-    cancellation: bool,
+    nodes_honor_cancellation: bool,
     #[serde(rename = "connIdleUs")]
     node_idle_timeout_us: u64,
     connect_timeout_us: u64,
@@ -254,7 +254,7 @@
             gateway_count: self.gateway_count,
             batch_interval_us: self.batch_interval_us,
             max_attempts: (limits.max_attempts > 0).then_some(limits.max_attempts),
-            cancellation: limits.cancellation,
+            nodes_honor_cancellation: limits.nodes_honor_cancellation,
             connect_timeout_us: limits.connect_timeout_us,
             max_retry_after_us: limits.max_retry_after(),
             answer_grace_us: rules.answer_grace_us,
@@ -266,9 +266,9 @@
             ordering_gap_us: rules.ordering_gap_us,
             mean_request_units: workload.mean_request_units,
             max_request_units: workload.max_request_units,
-            fair_share_weight_factor: workload.fair_share_weight_factor,
+            unreserved_weight_factor: workload.unreserved_weight_factor,
             metering_period_us: nonzero(workload.metering_period_us),
-            reports_other_gateways: workload.reports_other_gateways,
+            nodes_report_other_gateways: workload.nodes_report_other_gateways,
         }
     }
 
@@ -308,7 +308,7 @@
             priority_weight: self.priority_weight,
             late_weight_factor: self.late_weight_factor,
             idempotency: self.to_idempotency(),
-            ordered_by_key: self.ordered_by_block,
+            ordered_by_block: self.ordered_by_block,
             objective_stretch: self.objective_stretch,
         }
     }
@@ -316,9 +316,10 @@
     fn to_idempotency(&self) -> Idempotency {
         match self.idempotency {
             WireIdempotency::Idempotent => Idempotency::Idempotent,
-            WireIdempotency::WithKey => {
-                Idempotency::WithKey { scope: self.key_scope.into(), window_us: self.deduplication_window_us }
-            }
+            WireIdempotency::WithKey => Idempotency::WithKey {
+                scope: self.key_scope.into(),
+                deduplication_window_us: self.deduplication_window_us,
+            },
             WireIdempotency::NonIdempotent => Idempotency::NonIdempotent,
         }
     }
--- a/src/routing/metrics.rs
+++ b/src/routing/metrics.rs
@@ -38,7 +38,7 @@
     /// Failed requests ([`FinalAnswer::Failed`]): they may have run.
     pub failed: Counter,
     /// Requests whose clients disconnected before the final answer.
-    pub abandoned: Counter,
+    pub client_disconnected: Counter,
     /// Attempts handed to the transport, including those that the transport then did not send.
     pub attempts_started: Counter,
     attempts_succeeded: Counter,
@@ -83,7 +83,7 @@
             ("requests_served", self.served.get()),
             ("requests_refused", self.rejected.get()),
             ("requests_failed", self.failed.get()),
-            ("requests_gone", self.abandoned.get()),
+            ("requests_gone", self.client_disconnected.get()),
             ("attempts_sent", self.attempts_started.get()),
             ("attempts_ok", self.attempts_succeeded.get()),
             ("attempts_error", self.attempts_failed.get()),
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -148,7 +148,7 @@
             }
             Command::ClientDisconnected(request) => {
                 self.take_responder(request)?;
-                self.metrics.abandoned.increment();
+                self.metrics.client_disconnected.increment();
                 self.remove_if_complete(request);
                 Some(Event::ClientDisconnected(request))
             }
@@ -214,7 +214,7 @@
             request,
             outcome: result.outcome,
             latency_us: now_us.saturating_sub(sent_at_us),
-            complete: self.requests.get(&request).is_none_or(|entry| entry.responder.is_none()),
+            is_final: self.requests.get(&request).is_none_or(|entry| entry.responder.is_none()),
             node,
             volume_rate_percent: result.volume_rate_percent,
             units_via_other_gateways: result.units_via_other_gateways,
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -78,7 +78,7 @@
     fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
         let plan = self.settings.plan(incoming.plan);
         let (gateway_count, max_request_units) =
-            (incoming.volume_gateways.max(1.0), self.settings.max_request_units);
+            (incoming.volume_gateway_count.max(1.0), self.settings.max_request_units);
         let started_at_us = self.started_at_us;
         let volume = self
             .volumes
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -75,7 +75,7 @@
         let plan = self.settings.plan(request.plan);
         let Some(volume) = self.volumes.get_mut(&request.volume) else { return };
         volume.advance(plan, self.now_us, self.settings.max_request_units);
-        if self.settings.reports_other_gateways {
+        if self.settings.nodes_report_other_gateways {
             volume.record_served_via_other_gateways(report.units_via_other_gateways);
         }
         let metered = report.volume_rate_percent.filter(|_| self.settings.metering_period_us.is_some());
@@ -223,7 +223,7 @@
     /// it.
     fn finish_or_retry(&mut self, report: &AttemptReport, actions: &mut Vec<Action>) {
         let id = report.request;
-        if report.complete || self.requests[&id].is_answered() {
+        if report.is_final || self.requests[&id].is_answered() {
             self.finish(id);
         } else if self.may_be_retried(id, report.outcome) {
             self.enqueue(id);
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -199,7 +199,7 @@
     fn priority(&self, request: &Request, node: &NodeState) -> f64 {
         let class = self.settings.class(request.class);
         let plan = self.settings.plan(request.plan);
-        let unreserved_factor = if request.reserved { 1.0 } else { self.settings.fair_share_weight_factor };
+        let unreserved_factor = if request.reserved { 1.0 } else { self.settings.unreserved_weight_factor };
         let late_factor =
             if self.would_miss_objective(request, node) { class.late_weight_factor } else { 1.0 };
         class.priority_weight * plan.priority_factor / self.max_priority * unreserved_factor * late_factor
@@ -304,7 +304,7 @@
     /// Returns the timeout of an attempt, in microseconds from now; `None` if the attempt may last until the
     /// request expires.
     ///
-    /// Deviation from the paper: if nodes support cancellation, an attempt sent to a node whose concurrency
+    /// Deviation from the paper: if nodes honor cancellation, an attempt sent to a node whose concurrency
     /// window is at its minimum times out at the request's latency objective. Non-idempotent requests are
     /// excluded, because neither the gateway nor the client may repeat them after a timeout. Requests are
     /// also excluded if the time until their objective is shorter than the expected latency of the attempt,
@@ -312,7 +312,7 @@
     fn attempt_timeout_us(&self, id: RequestId, node: NodeIndex) -> Option<u64> {
         let (request, node) = (&self.requests[&id], &self.nodes[node]);
         let idempotency = self.settings.class(request.class).idempotency;
-        let may_time_out_early = self.settings.cancellation
+        let may_time_out_early = self.settings.nodes_honor_cancellation
             && idempotency != Idempotency::NonIdempotent
             && node.window.is_minimal();
         let remaining_us = request.objective_at_us.saturating_sub(self.now_us);
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -25,7 +25,7 @@
 pub struct VolumeId(pub u64);
 
 /// The number of a block of stored data. Requests of some classes are ordered by it, see
-/// [`RequestClass::ordered_by_key`](super::RequestClass::ordered_by_key).
+/// [`RequestClass::ordered_by_block`](super::RequestClass::ordered_by_block).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BlockId(pub u64);
 
@@ -83,8 +83,8 @@
     pub plan: PlanIndex,
     /// The volume that is charged for the request.
     pub volume: VolumeId,
-    /// The number of gateways through which the volume's requests arrive; less than 1 counts as 1.
-    pub volume_gateways: f64,
+    /// The number of gateways through which the volume's requests arrive; a value below 1 counts as 1.
+    pub volume_gateway_count: f64,
     /// The block that the request reads or writes; `None` if unknown.
     pub block: Option<BlockId>,
     /// The shard that holds the data; `None` for a new object, which may be stored on any shard.
@@ -112,7 +112,9 @@
     ConnectionReset,
     /// The gateway cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// The attempt was never sent, because the request had already been answered or had expired.
+    /// The attempt was not sent, because the request had already been answered or had expired, no connection
+    /// permit was available, or the attempt was cancelled before it was written completely. The node has not
+    /// executed the request.
     NotSent,
 }
 
@@ -125,8 +127,9 @@
     pub outcome: AttemptOutcome,
     /// The time from the sending of the attempt to its end.
     pub latency_us: u64,
-    /// Whether the request needs no further attempt, because the caller has given its final answer.
-    pub complete: bool,
+    /// Whether this is the last attempt of the request, because the request already has its final answer or
+    /// its client has disconnected.
+    pub is_final: bool,
     /// The node that the attempt was sent to. Not used by the scheduler, which records the node itself.
     pub node: NodeId,
     /// The volume's total rate over all gateways and nodes in a past period, in percent of the plan's
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -175,7 +175,7 @@
     /// flight to save the node's work.
     fn handle_client_disconnect(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.get(&id).filter(|request| request.attempt_in_flight().is_some());
-        if let Some(request) = request.filter(|_| self.settings.cancellation) {
+        if let Some(request) = request.filter(|_| self.settings.nodes_honor_cancellation) {
             actions.push(Action::CancelAttempt { request: id, attempt_index: request.attempts - 1 });
         }
         self.finish(id);
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -105,11 +105,11 @@
         match self.settings.class(request.class).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
-            Idempotency::WithKey { window_us, .. } => {
+            Idempotency::WithKey { deduplication_window_us, .. } => {
                 // Connecting may delay the attempt by up to the connect timeout. The nodes must still
                 // recognize the key when the attempt is written to the connection.
                 let latest_write_at_us = self.now_us + self.settings.connect_timeout_us;
-                latest_write_at_us < earlier_attempt.sent_at_us + window_us
+                latest_write_at_us < earlier_attempt.sent_at_us + deduplication_window_us
             }
         }
     }
@@ -158,7 +158,7 @@
     /// Returns the block of the request if its class requires the requests for one block to be executed in
     /// order.
     pub(super) fn ordering_block(&self, request: &Request) -> Option<BlockId> {
-        request.block.filter(|_| self.settings.class(request.class).ordered_by_key)
+        request.block.filter(|_| self.settings.class(request.class).ordered_by_block)
     }
 
     /// Returns whether the order of requests for the block allows the request to be sent; always true if its
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -23,7 +23,7 @@
         scope: DeduplicationScope,
         /// The deduplication window: how long the nodes recognize the key, counted from the first attempt, in
         /// microseconds.
-        window_us: u64,
+        deduplication_window_us: u64,
     },
     /// The request must never be executed twice.
     NonIdempotent,
@@ -55,7 +55,7 @@
     /// Whether requests of the class may be executed more than once.
     pub idempotency: Idempotency,
     /// Whether requests for the same block are executed one at a time, in order of arrival.
-    pub ordered_by_key: bool,
+    pub ordered_by_block: bool,
     /// The objective is extended by the request's own service time, multiplied by this factor.
     pub objective_stretch: f64,
 }
@@ -100,7 +100,7 @@
     pub initial_capacity: f64,
     /// The time after which a node has its full capacity; 0 if nodes have it from the start.
     pub warm_up_us: u64,
-    /// The load that a node sustains over the slow-start window, as a multiple of its current capacity.
+    /// A node is overloaded by more than this multiple of its current capacity over the window.
     pub overload_factor: f64,
 }
 
@@ -133,7 +133,7 @@
     /// The time after which an attempt to connect to a node has failed.
     pub connect_timeout_us: u64,
     /// Whether nodes honor the cancellation of attempts.
-    pub cancellation: bool,
+    pub nodes_honor_cancellation: bool,
     /// The longest `Retry-After` that a rejected client honors; `None` if clients ignore the header, which is
     /// then not sent.
     pub max_retry_after_us: Option<u64>,
@@ -157,13 +157,14 @@
     pub mean_request_units: f64,
     /// The largest size of a request in units.
     pub max_request_units: f64,
-    /// The fraction of its priority weight that a unit earns if it is beyond the volume's reservation but
-    /// within its fair share.
-    pub fair_share_weight_factor: f64,
+    /// The factor by which dispatch multiplies the priority weight of every request beyond its volume's
+    /// reservation. The platform states it for the units beyond the reservation that are within the volume's
+    /// fair share.
+    pub unreserved_weight_factor: f64,
     /// The period over which nodes meter the total rate of a volume; `None` if they do not report it.
     pub metering_period_us: Option<u64>,
     /// Whether nodes report how many units they served for a volume through other gateways.
-    pub reports_other_gateways: bool,
+    pub nodes_report_other_gateways: bool,
 }
 
 impl SchedulerSettings {
--- a/src/transport/connection_pool/mod.rs
+++ b/src/transport/connection_pool/mod.rs
@@ -187,7 +187,7 @@
         Some(request) => run_exchange(&mut exchange, &mut pooled.connection, request).await,
         // The connection has not been used, so it remains reusable.
         None => ExchangeEnd {
-            event: ExchangeEvent::Failed(ExchangeFailure::NotStarted),
+            event: ExchangeEvent::Failed(ExchangeFailure::CancelledBeforeSent),
             connection_reusable: true,
         },
     };
@@ -215,20 +215,20 @@
     let connect_deadline = exchange.deadline.min(started_at + limits.connect_timeout);
     let connected = tokio::select! {
         biased;
-        _ = &mut exchange.cancelled => return Err(ExchangeFailure::NotStarted),
+        _ = &mut exchange.cancelled => return Err(ExchangeFailure::CancelledBeforeSent),
         connected = tokio::time::timeout_at(connect_deadline, NodeConnection::connect(address)) => connected,
     };
     match connected {
         Ok(Ok(connection)) => Ok(PooledConnection { connection, last_used: started_at, _permit: permit }),
-        Ok(Err(_)) | Err(_) => Err(ExchangeFailure::NotDelivered),
+        Ok(Err(_)) | Err(_) => Err(ExchangeFailure::RequestNotWritten),
     }
 }
 
 /// Returns whether the end of an exchange suggests that the node's machine has failed. Requests written to
 /// idle connections that were last used before this exchange would then be lost as well.
 fn invalidates_idle_connections(event: &ExchangeEvent) -> bool {
-    use ExchangeFailure::{ConnectionReset, NotDelivered, TimedOut};
-    matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | NotDelivered))
+    use ExchangeFailure::{ConnectionReset, RequestNotWritten, TimedOut};
+    matches!(event, ExchangeEvent::Failed(TimedOut | ConnectionReset | RequestNotWritten))
 }
 
 #[cfg(test)]
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -56,7 +56,7 @@
     /// Decides whether the response is streamed.
     pub streaming: StreamingRule,
     /// Maximum length of a body that is read completely, in bytes. A response with a longer body that is not
-    /// streamed fails as malformed.
+    /// streamed fails as [`ExchangeFailure::InvalidResponse`].
     pub max_body_len: usize,
     /// Receives [`ExchangeEvent::StreamStarted`] if the response is streamed, and in any case exactly one
     /// final event.
@@ -84,17 +84,17 @@
     /// The gateway stopped the exchange before the request was written completely, because the exchange was
     /// cancelled or the client no longer waited for the response. The node has not started the request, and
     /// the failure does not indicate a fault of the node.
-    NotStarted,
+    CancelledBeforeSent,
     /// The request could not be written completely, because the connection could not be established, the
     /// connection failed, or the deadline passed. The node has not started the request. Unlike
-    /// [`NotStarted`](Self::NotStarted), this may indicate a fault of the node.
-    NotDelivered,
+    /// [`CancelledBeforeSent`](Self::CancelledBeforeSent), this may indicate a fault of the node.
+    RequestNotWritten,
     /// The connection failed after the request was written completely, or reading a streamed body failed.
     ConnectionReset,
     /// The response is not valid HTTP, its head or body is too long, or it stalled. A streamed body that
     /// stalls is a [`TimedOut`](Self::TimedOut) instead. The node has responded and may have run the request;
     /// only this connection is unusable.
-    MalformedResponse,
+    InvalidResponse,
     /// The request was written completely, but no complete response arrived before the deadline, or a
     /// streamed body stalled.
     TimedOut,
@@ -106,9 +106,9 @@
 impl From<SendError> for ExchangeFailure {
     fn from(error: SendError) -> Self {
         match error {
-            SendError::WriteIncomplete => ExchangeFailure::NotDelivered,
+            SendError::WriteIncomplete => ExchangeFailure::RequestNotWritten,
             SendError::ConnectionReset => ExchangeFailure::ConnectionReset,
-            SendError::MalformedResponse => ExchangeFailure::MalformedResponse,
+            SendError::InvalidResponse => ExchangeFailure::InvalidResponse,
         }
     }
 }
--- a/src/transport/exchange/runner.rs
+++ b/src/transport/exchange/runner.rs
@@ -32,9 +32,11 @@
                 // The exchange timed out or was cancelled before the last byte of the request was written, so
                 // the node has not started the request.
                 ExchangeFailure::TimedOut if !connection.is_request_written() => {
-                    ExchangeFailure::NotDelivered
+                    ExchangeFailure::RequestNotWritten
+                }
+                ExchangeFailure::Cancelled if !connection.is_request_written() => {
+                    ExchangeFailure::CancelledBeforeSent
                 }
-                ExchangeFailure::Cancelled if !connection.is_request_written() => ExchangeFailure::NotStarted,
                 failure => failure,
             };
             ExchangeEnd { event: ExchangeEvent::Failed(failure), connection_reusable: false }
@@ -55,7 +57,7 @@
     }
     // A body whose `Content-Length` exceeds the limit is rejected without being read.
     if body_len > exchange.max_body_len as u64 {
-        return Err(ExchangeFailure::MalformedResponse);
+        return Err(ExchangeFailure::InvalidResponse);
     }
     let body = read_body(exchange, body).await?;
     Ok(ExchangeEvent::Completed(Response::from_parts(head, body)))
@@ -90,7 +92,7 @@
                 // After an interim (1xx) response, the final response may take any time. The stall timeout is
                 // therefore disarmed until the next byte arrives.
                 if !interim_received.swap(false, Ordering::Relaxed) {
-                    return Err(ExchangeFailure::MalformedResponse);
+                    return Err(ExchangeFailure::InvalidResponse);
                 }
                 read_activity.reset();
                 stall_deadline = None;
@@ -106,7 +108,7 @@
         let frame = tokio::select! {
             frame = body.frame() => frame,
             () = tokio::time::sleep_until(exchange.deadline) => return Err(ExchangeFailure::TimedOut),
-            () = tokio::time::sleep_until(stall_deadline) => return Err(ExchangeFailure::MalformedResponse),
+            () = tokio::time::sleep_until(stall_deadline) => return Err(ExchangeFailure::InvalidResponse),
             _ = &mut exchange.cancelled => return Err(ExchangeFailure::Cancelled),
         };
         match frame {
@@ -115,7 +117,7 @@
             Some(Err(error)) => return Err(SendError::from_receive_error(&error).into()),
         }
         if bytes.len() > exchange.max_body_len {
-            return Err(ExchangeFailure::MalformedResponse);
+            return Err(ExchangeFailure::InvalidResponse);
         }
     }
 }
--- a/src/transport/node_connection/mod.rs
+++ b/src/transport/node_connection/mod.rs
@@ -35,13 +35,13 @@
     ConnectionReset,
     /// The request was written completely, and the response could not be parsed.
     #[error("response is malformed")]
-    MalformedResponse,
+    InvalidResponse,
 }
 
 impl SendError {
     /// Classifies an error that occurred after the request was written completely.
     pub(super) fn from_receive_error(error: &hyper::Error) -> Self {
-        if is_malformed(error) { SendError::MalformedResponse } else { SendError::ConnectionReset }
+        if is_malformed(error) { SendError::InvalidResponse } else { SendError::ConnectionReset }
     }
 }
 
--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -17,7 +17,7 @@
         priority_weight,
         late_weight_factor: 0.1,
         idempotency,
-        ordered_by_key: false,
+        ordered_by_block: false,
         objective_stretch: 0.0,
     }
 }
@@ -25,7 +25,7 @@
 /// Returns settings for three gateways, with all rules of the platform enabled.
 ///
 /// Class 0 is idempotent. Requests of class 1 have an idempotency key, which the nodes of one shard recognize
-/// for one second. Class 2 is not idempotent, and its requests are ordered by key. Plan 0 has a rate limit
+/// for one second. Class 2 is not idempotent, and its requests are ordered by block. Plan 0 has a rate limit
 /// and no reservation; plan 1 has a reservation and no rate limit.
 pub fn settings() -> SchedulerSettings {
     SchedulerSettings {
@@ -35,7 +35,7 @@
         gateway_count: 3,
         batch_interval_us: TICK,
         max_attempts: Some(3),
-        cancellation: true,
+        nodes_honor_cancellation: true,
         connect_timeout_us: 250_000,
         max_retry_after_us: Some(2 * SECOND),
         answer_grace_us: 8_000,
@@ -53,18 +53,18 @@
         ordering_gap_us: 100_000,
         mean_request_units: 2.0,
         max_request_units: 8.0,
-        fair_share_weight_factor: 0.3,
+        unreserved_weight_factor: 0.3,
         metering_period_us: None,
-        reports_other_gateways: false,
+        nodes_report_other_gateways: false,
     }
 }
 
 fn classes() -> Vec<RequestClass> {
-    let with_key = Idempotency::WithKey { scope: DeduplicationScope::Shard, window_us: SECOND };
+    let with_key = Idempotency::WithKey { scope: DeduplicationScope::Shard, deduplication_window_us: SECOND };
     vec![
         class(200_000, SECOND, 2.0, Idempotency::Idempotent),
         class(300_000, 2 * SECOND, 2.0, with_key),
-        RequestClass { ordered_by_key: true, ..class(800_000, 2_500_000, 1.0, Idempotency::NonIdempotent) },
+        RequestClass { ordered_by_block: true, ..class(800_000, 2_500_000, 1.0, Idempotency::NonIdempotent) },
     ]
 }
 
@@ -120,7 +120,7 @@
         class: ClassIndex(class),
         plan: PlanIndex(1),
         volume: VolumeId(u64::from(id)),
-        volume_gateways: 1.0,
+        volume_gateway_count: 1.0,
         block: Some(BlockId(u64::from(id))),
         shard: Some(ShardId(shard)),
         units: 2.0,
@@ -138,7 +138,7 @@
         request: RequestId(request),
         outcome,
         latency_us,
-        complete: outcome == AttemptOutcome::Succeeded,
+        is_final: outcome == AttemptOutcome::Succeeded,
         node: node.into(),
         volume_rate_percent: None,
         units_via_other_gateways: 0.0,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -96,8 +96,9 @@
     pub failed: Vec<u32>,
     /// Times at which gateways started to watch the endpoint list, over all gateways.
     pub watches_at_us: Vec<u64>,
-    /// How long a node may still be sent work after it was announced as draining.
-    pub drain_grace_us: u64,
+    /// The drain grace that `check_node_is_available` allows: how long a node may still be sent work after it
+    /// was announced as draining.
+    pub checked_drain_grace_us: u64,
     pub(super) timers: Vec<PendingTimer>,
     pub(super) nodes: BTreeMap<NodeId, ListedNode>,
     /// Time at which a gateway was notified that a node is draining or gone.
@@ -123,7 +124,7 @@
             rejected: Vec::new(),
             failed: Vec::new(),
             watches_at_us: Vec::new(),
-            drain_grace_us: 0,
+            checked_drain_grace_us: 0,
             timers: Vec::new(),
             nodes: BTreeMap::new(),
             unavailable_since_us: BTreeMap::new(),
@@ -142,7 +143,7 @@
 
     /// Returns a fleet without slow start and retry budget, whose gateways have received a list of this many
     /// ready nodes.
-    pub fn unrestricted(gateway_count: usize, node_count: u32) -> Self {
+    pub fn without_slow_start_and_retry_budget(gateway_count: usize, node_count: u32) -> Self {
         let settings =
             SchedulerSettings { gateway_count, slow_start: None, retry_budget: None, ..super::settings() };
         let mut fleet = SimulatedFleet::with_ready_nodes(settings, node_count);
@@ -151,7 +152,7 @@
     }
 
     /// Queues an event for the gateway's next batch.
-    pub fn notify(&mut self, gateway: usize, event: Event) {
+    pub fn queue_event(&mut self, gateway: usize, event: Event) {
         self.queued_events[gateway].push(event);
     }
 
@@ -170,7 +171,7 @@
                 self.unavailable_since_us.entry(key).or_insert(self.now_us);
             }
         }
-        self.notify(gateway, Event::EndpointsUpdated(update));
+        self.queue_event(gateway, Event::EndpointsUpdated(update));
     }
 
     fn record_removal_of_unlisted(&mut self, gateway: usize, endpoints: &[Endpoint]) {
@@ -189,7 +190,7 @@
     /// Notifies every gateway that its poll of the endpoint list has failed.
     pub fn fail_polls(&mut self) {
         for gateway in 0..self.gateways.len() {
-            self.notify(gateway, poll_failed());
+            self.queue_event(gateway, poll_failed());
         }
     }
 
@@ -203,7 +204,7 @@
             attempts: vec![],
         };
         assert!(self.requests.insert(request.id.0, tracked).is_none());
-        self.notify(gateway, Event::RequestArrived(request));
+        self.queue_event(gateway, Event::RequestArrived(request));
     }
 
     /// Submits a request for data of the shard at gateway 0. It expires at the deadline of its class.
@@ -263,13 +264,13 @@
         );
         tracked.finished |= outcome == AttemptOutcome::Succeeded;
         let mut report = attempt_report(id, &attempt.node, outcome, self.now_us - attempt.sent_at_us);
-        report.complete = tracked.finished;
+        report.is_final = tracked.finished;
         let gateway = tracked.gateway;
         self.start_ordering_gap(id, outcome);
-        self.notify(gateway, Event::AttemptEnded(report));
+        self.queue_event(gateway, Event::AttemptEnded(report));
     }
 
-    /// Starts the gap before the next request for the block if the request is ordered by key and its ended
+    /// Starts the gap before the next request for the block if the request is ordered by block and its ended
     /// attempt may still be running.
     fn start_ordering_gap(&mut self, id: u32, outcome: AttemptOutcome) {
         let tracked = &self.requests[&id];
@@ -278,7 +279,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
         );
         if may_still_run
-            && self.settings.classes[tracked.request.class.0].ordered_by_key
+            && self.settings.classes[tracked.request.class.0].ordered_by_block
             && let Some(block) = tracked.request.block
         {
             let until_us = self.now_us + self.settings.ordering_gap_us;
@@ -291,7 +292,7 @@
         let tracked = self.requests.get_mut(&id).expect("a request");
         tracked.finished = true;
         let gateway = tracked.gateway;
-        self.notify(gateway, Event::ClientDisconnected(RequestId(id)));
+        self.queue_event(gateway, Event::ClientDisconnected(RequestId(id)));
     }
 
     /// Kills and restarts a gateway. All its state is lost; it receives the cached endpoint list.
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -104,9 +104,9 @@
             match self.class_of(tracked).idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("{id} may have run and must not run again"),
-                Idempotency::WithKey { scope, window_us } => {
+                Idempotency::WithKey { scope, deduplication_window_us } => {
                     assert!(
-                        self.now_us <= earlier.sent_at_us + window_us,
+                        self.now_us <= earlier.sent_at_us + deduplication_window_us,
                         "{id} sent again after the window of its idempotency key"
                     );
                     let key_is_known = scope == DeduplicationScope::AllNodes || earlier.shard == shard;
@@ -124,7 +124,7 @@
     fn check_node_is_available(&self, attempt: &NewAttempt) {
         let key = (attempt.gateway, attempt.node.clone());
         if let Some(since_us) = self.unavailable_since_us.get(&key) {
-            let allowed = self.now_us <= since_us + self.drain_grace_us;
+            let allowed = self.now_us <= since_us + self.checked_drain_grace_us;
             assert!(allowed, "sent to a node that is draining or gone");
         }
     }
@@ -134,13 +134,13 @@
     fn check_ordering(&self, attempt: &NewAttempt) {
         let (gateway, id) = (attempt.gateway, attempt.request);
         let tracked = &self.requests[&id];
-        let Some(block) = tracked.request.block.filter(|_| self.class_of(tracked).ordered_by_key) else {
+        let Some(block) = tracked.request.block.filter(|_| self.class_of(tracked).ordered_by_block) else {
             return;
         };
         for (earlier, other) in self.requests.range(..id) {
             let same_block = other.gateway == gateway && other.request.block == Some(block);
             let open = !other.finished || other.attempts.last().is_some_and(|last| last.in_flight);
-            let ordered = self.class_of(other).ordered_by_key;
+            let ordered = self.class_of(other).ordered_by_block;
             assert!(
                 !(same_block && open && ordered),
                 "{id} sent before {earlier}, which arrived earlier and is not finished"
--- a/tests/final_answers.rs
+++ b/tests/final_answers.rs
@@ -181,8 +181,9 @@
 
 #[test]
 fn attempts_of_disconnected_clients_are_cancelled_if_cancellation_is_enabled() {
-    for cancellation in [true, false] {
-        let mut scheduler = Scheduler::new(SchedulerSettings { cancellation, ..settings() }, 1, 10);
+    for nodes_honor_cancellation in [true, false] {
+        let mut scheduler =
+            Scheduler::new(SchedulerSettings { nodes_honor_cancellation, ..settings() }, 1, 10);
         let arrivals = [snapshot(ready_endpoints(1)), arrival(1, 0, 0, SECOND), arrival(2, 0, 7, SECOND)];
         deliver(&mut scheduler, 10, &arrivals);
         let disconnects = [1, 2, 3].map(|id| Event::ClientDisconnected(RequestId(id)));
@@ -190,7 +191,7 @@
         let is_cancellation = |action: &&Action| matches!(action, Action::CancelAttempt { .. });
         let cancellations: Vec<_> = actions.iter().filter(is_cancellation).collect();
         let expected = Action::CancelAttempt { request: RequestId(1), attempt_index: 0 };
-        assert_eq!(cancellations, if cancellation { vec![&expected] } else { vec![] });
+        assert_eq!(cancellations, if nodes_honor_cancellation { vec![&expected] } else { vec![] });
     }
 }
 
@@ -199,7 +200,7 @@
 /// the rejection costs no more than that retry. A request that was sent stays open until it is answered.
 #[test]
 fn unsent_requests_are_rejected_after_half_their_time_to_expiry() {
-    let mut fleet = SimulatedFleet::unrestricted(1, 1);
+    let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(1, 1);
     let expires_at_us = fleet.now_us + SECOND;
     for id in 0..40 {
         fleet.submit(0, incoming_request(id, 0, 0, expires_at_us));
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -15,7 +15,7 @@
 #[test]
 fn the_latency_model_is_fitted_at_a_low_rate() {
     for (count, first) in [(4, 1_000), (30, 1_001)] {
-        let mut fleet = SimulatedFleet::unrestricted(40, 1);
+        let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(40, 1);
         fleet.submit_one_by_one(0..count, 50_000, 450_000);
         fleet.submit_of_class(500, 0);
         fleet.advance();
@@ -35,14 +35,14 @@
 /// only after its objective is dropped in favor of those that can still meet theirs.
 #[test]
 fn rate_limited_requests_are_not_sent_after_their_objective() {
-    let mut fleet = SimulatedFleet::unrestricted(1, 1);
+    let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(1, 1);
     fleet.run_for(5 * SECOND);
     for id in 0..400 {
         let expires_at_us = fleet.now_us + 2_500_000;
         let request = IncomingRequest {
             plan: PlanIndex(0),
             volume: VolumeId(7),
-            volume_gateways: 3.0,
+            volume_gateway_count: 3.0,
             units: 1.0 + f64::from(id % 3),
             ..incoming_request(id, (id % 2) as usize, 0, expires_at_us)
         };
@@ -66,7 +66,7 @@
 /// is not retried. The attempt of a non-idempotent request does not time out at the objective.
 #[test]
 fn attempts_at_a_slow_node_time_out_at_their_objective() {
-    let mut fleet = SimulatedFleet::unrestricted(3, 1);
+    let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(3, 1);
     fleet.submit_of_class(0, 0);
     fleet.advance();
     let timeouts: Vec<_> = fleet.sent.iter().map(|attempt| (attempt.request, attempt.timeout_us)).collect();
@@ -95,7 +95,7 @@
 /// unanswered attempts add up.
 #[test]
 fn attempts_with_little_time_left_do_not_count_as_node_failures() {
-    let mut fleet = SimulatedFleet::unrestricted(3, 1);
+    let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(3, 1);
     fleet.submit_of_class(0, 0);
     fleet.advance();
     fleet.submit_one_by_one(1..21, 150_000, 0);
--- a/tests/overloaded_nodes.rs
+++ b/tests/overloaded_nodes.rs
@@ -24,7 +24,7 @@
 }
 
 fn sent_to_an_overloaded_node(gateways: usize) -> SentInTwoSeconds {
-    let mut fleet = SimulatedFleet::unrestricted(gateways, 1);
+    let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(gateways, 1);
     fleet.submit_one_by_one(0..40, 40_000, 0);
     fleet.submit_one_by_one(100..108, 700_000, 0);
     let while_overloaded = sent_while_fast(&mut fleet, 200..240);
@@ -83,7 +83,7 @@
 /// most of that time.
 #[test]
 fn a_gateway_recovers_from_a_period_without_answers() {
-    let mut fleet = SimulatedFleet::unrestricted(80, 1);
+    let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(80, 1);
     fleet.submit_one_by_one(0..40, 40_000, 0);
     fleet.submit_one_by_one(100..112, 60_000, 0);
     let silent = sent_in_ten_seconds(&mut fleet, 1_000, NodeBehavior::Silent);
@@ -96,8 +96,8 @@
 /// its attempt in flight has already taken longer than attempts take at another node.
 #[test]
 fn new_objects_are_not_sent_to_a_node_that_does_not_answer() {
-    let unrestricted = SchedulerSettings { slow_start: None, ..settings() };
-    let mut scheduler = Scheduler::new(unrestricted, 1, SECOND);
+    let without_slow_start = SchedulerSettings { slow_start: None, ..settings() };
+    let mut scheduler = Scheduler::new(without_slow_start, 1, SECOND);
     let unanswered = arrival(1, 1, 0, 3 * SECOND);
     deliver(&mut scheduler, SECOND, &[snapshot(ready_endpoints(2)), unanswered]);
     let mut now_us = SECOND;
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -17,7 +17,7 @@
     IncomingRequest {
         plan: PlanIndex(0),
         volume: VolumeId(7),
-        volume_gateways: 3.0,
+        volume_gateway_count: 3.0,
         ..incoming_request(id, 0, shard, expires_at_us)
     }
 }
@@ -41,11 +41,11 @@
     fleet.advance();
     fleet.run_for(SECOND);
     assert!(fleet.requests[&1].finished);
-    fleet.notify(0, Event::ClientDisconnected(RequestId(1)));
-    fleet.notify(0, attempt_ended(1, "n0", AttemptOutcome::ConnectionReset, 1));
-    fleet.notify(0, attempt_ended(77, "unknown", AttemptOutcome::Succeeded, 1));
-    fleet.notify(0, Event::ResponseStarted(RequestId(1)));
-    fleet.notify(0, Event::TimerFired(123));
+    fleet.queue_event(0, Event::ClientDisconnected(RequestId(1)));
+    fleet.queue_event(0, attempt_ended(1, "n0", AttemptOutcome::ConnectionReset, 1));
+    fleet.queue_event(0, attempt_ended(77, "unknown", AttemptOutcome::Succeeded, 1));
+    fleet.queue_event(0, Event::ResponseStarted(RequestId(1)));
+    fleet.queue_event(0, Event::TimerFired(123));
     fleet.run_for(SECOND);
     assert_eq!(fleet.sent.len(), 1);
 }
@@ -96,7 +96,7 @@
 fn fleet_with_drain_grace(settings: SchedulerSettings) -> SimulatedFleet {
     let settings = SchedulerSettings { drain_grace_us: DRAIN_GRACE_US, ..settings };
     let mut fleet = SimulatedFleet::new(settings);
-    fleet.drain_grace_us = DRAIN_GRACE_US;
+    fleet.checked_drain_grace_us = DRAIN_GRACE_US;
     fleet.update_endpoints_everywhere(EndpointUpdate::Snapshot, &ready_endpoints(3));
     fleet
 }
@@ -108,8 +108,9 @@
     failed_polls: usize,
     other_endpoints: &[Endpoint],
 ) -> SimulatedFleet {
-    let unrestricted = SchedulerSettings { slow_start: None, retry_budget: None, ..settings() };
-    let mut fleet = fleet_with_drain_grace(unrestricted);
+    let without_slow_start_and_retry_budget =
+        SchedulerSettings { slow_start: None, retry_budget: None, ..settings() };
+    let mut fleet = fleet_with_drain_grace(without_slow_start_and_retry_budget);
     (0..failed_polls).for_each(|_| fleet.fail_polls());
     fleet.advance();
     let mut endpoints = vec![endpoint("n0", 0, EndpointState::Draining, 0)];
@@ -165,7 +166,7 @@
     assert_eq!(fleet.requests_sent_since(0), [3]);
     // A snapshot removes the nodes that it does not list. A failed poll changes nothing.
     fleet.update_endpoints_everywhere(EndpointUpdate::Snapshot, &ready_endpoints(2));
-    fleet.notify(0, poll_failed());
+    fleet.queue_event(0, poll_failed());
     fleet.submit_to_shard(4, 0, 2);
     fleet.submit_to_shard(5, 0, 0);
     fleet.run_for(10 * TICK);
@@ -291,7 +292,7 @@
     let mut fleet = SimulatedFleet::with_ready_nodes(on_request, 3);
     fleet.advance();
     assert_eq!(fleet.watches_at_us.len(), 3, "each gateway watches the list from its start");
-    fleet.notify(0, poll_failed());
+    fleet.queue_event(0, poll_failed());
     fleet.run_for(5 * SECOND);
     assert_eq!(fleet.watches_at_us.len(), 4, "a failed poll is retried, once");
     fleet.submit_to_shard(1, 0, 0);
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -104,7 +104,7 @@
             Step::UpdateEndpoint { gateway, node, state, restarted } => {
                 self.update_endpoint(gateway, node as usize, state, restarted);
             }
-            Step::FailPoll { gateway } => self.fleet.notify(gateway, poll_failed()),
+            Step::FailPoll { gateway } => self.fleet.queue_event(gateway, poll_failed()),
             Step::DisconnectClient { choice } => self.disconnect_client(choice),
             Step::RestartGateway { gateway } => self.fleet.restart_gateway(gateway, &self.endpoints),
             Step::Wait { ticks } => (0..ticks).for_each(|_| self.fleet.advance()),
@@ -121,7 +121,7 @@
         let request = IncomingRequest {
             plan: PlanIndex(plan),
             volume: VolumeId(volume * 2 + plan as u64),
-            volume_gateways: GATEWAYS as f64,
+            volume_gateway_count: GATEWAYS as f64,
             block: Some(BlockId(block)),
             shard: shard.map(ShardId),
             units: f64::from(units),
@@ -169,7 +169,7 @@
             health_check,
             Event::GossipReceived { gateway: 1, message: "??".into() },
         ] {
-            self.fleet.notify(gateway, event);
+            self.fleet.queue_event(gateway, event);
         }
     }
 
--- a/tests/request_router.rs
+++ b/tests/request_router.rs
@@ -95,7 +95,7 @@
         let attempt = fixture.next_attempt().await;
         drop(pending);
         assert!(attempt.cancelled.await.is_err(), "the sender must be dropped without a value");
-        assert_eq!(fixture.metrics.abandoned.get(), 1);
+        assert_eq!(fixture.metrics.client_disconnected.get(), 1);
     });
 }
 
--- a/tests/scheduling_exceptions.rs
+++ b/tests/scheduling_deviations.rs
@@ -7,7 +7,7 @@
 
 /// Returns a fleet of one gateway with three ready nodes, without slow start and retry budget.
 fn single_gateway() -> SimulatedFleet {
-    SimulatedFleet::unrestricted(1, 3)
+    SimulatedFleet::without_slow_start_and_retry_budget(1, 3)
 }
 
 /// Like `single_gateway`, after this many requests, each of which was answered after the latency.
@@ -212,7 +212,7 @@
             class: ClassIndex(0),
             plan: PlanIndex(0),
             units: 0.0,
-            volume_gateways: 0.0,
+            volume_gateway_count: 0.0,
             ..incoming_request(1, 0, 0, 5)
         };
         let unknown =
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -79,8 +79,8 @@
     /// Units sent within the window of the policy by gateways that were notified of the latest restart.
     recently_sent: VecDeque<SentUnits>,
     /// Units sent to the node while it warmed up, except in the first two windows after its start.
-    served_units: f64,
-    /// Units that the node could have served in the period to which `served_units` applies.
+    units_sent_after_first_windows: f64,
+    /// Units that the node could have served in the period to which `units_sent_after_first_windows` applies.
     servable_units: f64,
 }
 
@@ -101,7 +101,7 @@
             queue: Vec::new(),
             request_units: BTreeMap::new(),
             recently_sent: VecDeque::new(),
-            served_units: 0.0,
+            units_sent_after_first_windows: 0.0,
             servable_units: 0.0,
             settings,
         }
@@ -207,7 +207,7 @@
         let latency_us = served_at_us - self.now_us;
         self.queue.push(QueuedAttempt { gateway, request, served_at_us, latency_us });
         if capacity < 1.0 && self.is_past_first_windows() {
-            self.served_units += units;
+            self.units_sent_after_first_windows += units;
         }
         if self.started_at_us > 0 && self.known_start_us[gateway] == self.started_at_us {
             self.recently_sent.push_back(SentUnits { at_us: self.now_us, units });
@@ -252,7 +252,7 @@
         for round in 0u32..1_600 {
             simulation.run_round(round);
         }
-        let (served, servable) = (simulation.served_units, simulation.servable_units);
+        let (served, servable) = (simulation.units_sent_after_first_windows, simulation.servable_units);
         let min_fraction = if gateways > 3 { 0.4 } else { 0.25 };
         assert!(
             served > min_fraction * servable,
@@ -261,9 +261,9 @@
     }
 }
 
-/// Gateways that start one second before their node restarts. Each receives requests of a different volume,
+/// Gateways that are started one second before their node restarts. Each receives requests of a different volume,
 /// which stay within the volume's reservation. The node answers each attempt by the next round.
-struct RestartedFleet {
+struct FleetRestartedWithNode {
     warm_up: WarmUp,
     gateways: Vec<Scheduler>,
     /// Events for each gateway's next batch.
@@ -275,7 +275,7 @@
     requested_units: f64,
 }
 
-impl RestartedFleet {
+impl FleetRestartedWithNode {
     /// Size of each request, in units.
     const REQUEST_UNITS: f64 = 2.0;
 
@@ -284,7 +284,7 @@
         let policy = settings.slow_start.expect("a slow start policy");
         // The reservations of all volumes amount to six tenths of the rate that the node can serve.
         let units_per_second = gateway_count as f64 * settings.plans[1].reserved_rate / 0.6;
-        RestartedFleet {
+        FleetRestartedWithNode {
             warm_up: WarmUp { policy, units_per_second },
             gateways: schedulers(&settings, 0, SIMULATION_START_US),
             events: vec![vec![cached(vec![node_started_at(0)])]; gateway_count],
@@ -352,7 +352,7 @@
 /// units requested, which are within the reservations, and together must stay within the allowance.
 #[test]
 fn restarted_gateways_send_reserved_requests_to_a_warming_up_node() {
-    let mut fleet = RestartedFleet::new(60);
+    let mut fleet = FleetRestartedWithNode::new(60);
     for round in 0u32..600 {
         fleet.run_round(round);
     }
