--- a/src/gateway/inventory/racks.rs
+++ b/src/gateway/inventory/racks.rs
@@ -10,7 +10,8 @@
 pub struct RackRegistry(Rc<RefCell<Vec<String>>>);
 
 impl RackRegistry {
-    /// Returns the shard number of a rack. A rack that is not yet registered is registered with the next number.
+    /// Returns the shard number of a rack. A rack that is not registered yet is registered with the next
+    /// number.
     pub fn shard_for_rack(&self, rack: &str) -> ShardId {
         let mut racks = self.0.borrow_mut();
         let index = racks.iter().position(|known| known == rack).unwrap_or_else(|| {
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -110,7 +110,8 @@
 
     /// Returns the time at which a request expires, on the router's clock. `client_timeout_us`, less
     /// [`RESPONSE_MARGIN_US`], counts from the call, which follows the receipt of the last byte of the
-    /// request. During a graceful shutdown, the request expires no later than the shutdown's response deadline.
+    /// request. During a graceful shutdown, the request expires no later than the shutdown's response
+    /// deadline.
     fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
         let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
         let until_shutdown_us = match self.shutdown.response_deadline() {
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -35,8 +35,8 @@
 /// Safety margin between the time by which all requests must have been answered and the earliest SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(200);
 
-/// Runs the shutdown. Stores the length of the service period and, once the shutdown has started, the response
-/// deadline.
+/// Runs the shutdown. Stores the length of the service period and, once the shutdown has started, the
+/// response deadline.
 pub struct ShutdownSchedule {
     /// Time from the signal until the `FinalResponses` phase starts.
     service_period: Cell<Duration>,
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -127,8 +127,8 @@
     pub outcome: AttemptOutcome,
     /// The time from the sending of the attempt to its end.
     pub latency_us: u64,
-    /// Whether this is the last attempt of the request, because the request already has its final answer or
-    /// its client has disconnected.
+    /// Whether the request needs no further attempt, because it has its final answer or its client has
+    /// disconnected.
     pub is_final: bool,
     /// The node that the attempt was sent to. Not used by the scheduler, which records the node itself.
     pub node: NodeId,
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -100,7 +100,7 @@
     pub initial_capacity: f64,
     /// The time after which a node has its full capacity; 0 if nodes have it from the start.
     pub warm_up_us: u64,
-    /// A node is overloaded by more than this multiple of its current capacity over the window.
+    /// A node is overloaded by more than this multiple of its current capacity over the slow-start window.
     pub overload_factor: f64,
 }
 
@@ -158,8 +158,7 @@
     /// The largest size of a request in units.
     pub max_request_units: f64,
     /// The factor by which dispatch multiplies the priority weight of every request beyond its volume's
-    /// reservation. The platform states it for the units beyond the reservation that are within the volume's
-    /// fair share.
+    /// reservation. The setting is meant for units beyond the reservation but within the volume's fair share.
     pub unreserved_weight_factor: f64,
     /// The period over which nodes meter the total rate of a volume; `None` if they do not report it.
     pub metering_period_us: Option<u64>,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -270,8 +270,8 @@
         self.queue_event(gateway, Event::AttemptEnded(report));
     }
 
-    /// Starts the gap before the next request for the block if the request is ordered by block and its ended
-    /// attempt may still be running.
+    /// Starts the gap before the next request for the block if the class of the request orders requests by
+    /// block and the ended attempt may still be running.
     fn start_ordering_gap(&mut self, id: u32, outcome: AttemptOutcome) {
         let tracked = &self.requests[&id];
         let may_still_run = matches!(
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -261,8 +261,9 @@
     }
 }
 
-/// Gateways that are started one second before their node restarts. Each receives requests of a different volume,
-/// which stay within the volume's reservation. The node answers each attempt by the next round.
+/// A fleet that is restarted together with its node: the gateways start one second before the node. Each
+/// gateway receives requests of a different volume, which stay within the volume's reservation. The node
+/// answers each attempt by the next round.
 struct FleetRestartedWithNode {
     warm_up: WarmUp,
     gateways: Vec<Scheduler>,
