--- a/examples/storage-node.rs
+++ b/examples/storage-node.rs
@@ -2,7 +2,7 @@
 //! they are lost when the process exits.
 //!
 //! Pass the address to listen on as the argument, such as `storage-node 127.0.0.1:9001`. The node prints the
-//! method and the URI of each valid request.
+//! method and the URI of each request that it can decode.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The result of a write. The node stores it and returns it again for a retry with the same idempotency key.
+/// The result of a write. The node stores it and returns it for later writes with the same idempotency key.
 #[derive(Clone)]
 struct WriteResult {
     status: StatusCode,
@@ -92,7 +92,7 @@
     uploads: BTreeMap<String, Parts>,
     /// Number of uploads initiated so far; the upload ids are derived from it.
     uploads_initiated: u64,
-    /// Results of successful writes, by idempotency key.
+    /// Results of successful writes, by idempotency key; the key is empty for a write without one.
     results: BTreeMap<String, WriteResult>,
 }
 
@@ -136,7 +136,8 @@
         Ok(response(StatusCode::OK, object::encode_parts_list(listing, "", "", upload_id)))
     }
 
-    /// Performs a write, or returns the result of an earlier write with the same idempotency key.
+    /// Performs a write, or returns the result of an earlier write with the same idempotency key. All writes
+    /// without a key share the empty key: after the first one succeeds, the others only return its result.
     fn write_once(
         &mut self,
         idempotency_key: &str,
@@ -227,7 +228,8 @@
     error
 }
 
-/// Returns the idempotency key of the request, or an empty string if the request has none.
+/// Returns the idempotency key of the request, or an empty string if the request has none or the key is not
+/// visible ASCII text.
 fn idempotency_key(headers: &HeaderMap) -> &str {
     headers.get("idempotency-key").and_then(|key| key.to_str().ok()).unwrap_or("")
 }
@@ -257,6 +259,7 @@
     let listener = tokio::net::TcpListener::bind(&address).await?;
     println!("storage node listening on {}", listener.local_addr()?);
     let store = Rc::new(RefCell::new(Store::default()));
+    // Keeps the phase channel open: `serve` stops accepting connections once the sender is dropped.
     let (_serving, phase) = tokio::sync::watch::channel(LifecyclePhase::Serving);
     let service = move |request: Request<Incoming>, _| {
         let (store, path) = (store.clone(), request.uri().path().to_string());
--- a/tests/common/builders.rs
+++ b/tests/common/builders.rs
@@ -80,8 +80,8 @@
     vec![plan(0.0, 1.0, Some(limit)), plan(6.0, 3.0, None)]
 }
 
-/// Returns an endpoint of the shard, in zone 0 or 1. Its node started at the given time, or long ago if that
-/// is 0.
+/// Returns an endpoint of the shard, in zone 0 for an even shard and in zone 1 for an odd one. A
+/// `started_at_us` of 0 means that the node started long ago.
 pub fn endpoint(name: &str, shard: u32, state: EndpointState, started_at_us: u64) -> Endpoint {
     Endpoint {
         node: name.into(),
@@ -113,7 +113,8 @@
     Event::EndpointsUpdated(EndpointUpdate::PollFailed)
 }
 
-/// Returns a request of plan 1, for a volume and a block that no request with another number uses.
+/// Returns a request of plan 1 with a size of 2 units. Its volume and its block have the same number as the
+/// request, so that requests with different ids share neither.
 pub fn incoming_request(id: u32, class: usize, shard: u32, expires_at_us: u64) -> IncomingRequest {
     IncomingRequest {
         id: RequestId(id),
@@ -132,7 +133,8 @@
     Event::RequestArrived(incoming_request(id, class, shard, expires_at_us))
 }
 
-/// Returns the report of an ended attempt. Only a success completes the request.
+/// Returns the report of an ended attempt. Only a successful attempt is final, which means that the request
+/// needs no further attempt.
 pub fn attempt_report(request: u32, node: &str, outcome: AttemptOutcome, latency_us: u64) -> AttemptReport {
     AttemptReport {
         request: RequestId(request),
@@ -157,13 +159,13 @@
     actions
 }
 
-/// Returns one scheduler per gateway, each seeded with the gateway's number plus `seed_offset`.
+/// Returns one scheduler per gateway, each seeded with the gateway's index plus `seed_offset`.
 pub fn schedulers(settings: &SchedulerSettings, seed_offset: u64, now_us: u64) -> Vec<Scheduler> {
     let new = |index| scheduler(settings, index, index as u64 + seed_offset, now_us);
     (0..settings.gateway_count).map(new).collect()
 }
 
-/// Returns the scheduler of the gateway with this number.
+/// Returns the scheduler of the gateway with this index.
 pub fn scheduler(settings: &SchedulerSettings, gateway_index: usize, seed: u64, now_us: u64) -> Scheduler {
     Scheduler::new(SchedulerSettings { gateway_index, ..settings.clone() }, seed, now_us)
 }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -9,7 +9,7 @@
 /// Time at which the simulation starts.
 pub const SIMULATION_START_US: u64 = 1_000 * SECOND;
 
-/// Seed of the first gateway's scheduler. The seed of each further gateway is higher by one.
+/// Added to a gateway's index to get the seed of its scheduler; a restarted gateway uses the current time.
 pub const SEED_OFFSET: u64 = 7;
 
 /// Makes one kind of update from a list of endpoints: a snapshot, a delta or a cached list.
@@ -37,7 +37,7 @@
     pub attempts: Vec<TrackedAttempt>,
 }
 
-/// An attempt, as sent by a scheduler.
+/// A record of an attempt that a scheduler sent; it does not change when the attempt ends.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub at_us: u64,
@@ -77,7 +77,7 @@
     pub gateway: usize,
 }
 
-/// The token bucket by which the rate limit of a volume is checked, over all gateways.
+/// The token bucket that checks the rate limit of a volume, for all gateways together.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VolumeBucket {
     /// Tokens in units; negative while the volume uses its overdraft.
@@ -85,7 +85,7 @@
     pub updated_at_us: u64,
 }
 
-/// Several gateways in front of the same nodes. Each of their actions is checked against the rules.
+/// Several gateways in front of the same nodes. Their actions are checked against the rules of the platform.
 pub struct SimulatedFleet {
     pub settings: SchedulerSettings,
     pub now_us: u64,
@@ -96,16 +96,16 @@
     pub failed: Vec<u32>,
     /// Times at which gateways started to watch the endpoint list, over all gateways.
     pub watches_at_us: Vec<u64>,
-    /// The drain grace that `check_node_is_available` allows: how long a node may still be sent work after it
-    /// was announced as draining.
+    /// Grace period that the check of draining nodes allows; independent of `settings.drain_grace_us`.
     pub checked_drain_grace_us: u64,
     pub(super) timers: Vec<PendingTimer>,
     pub(super) nodes: BTreeMap<NodeId, ListedNode>,
-    /// Time at which a gateway was notified that a node is draining or gone.
+    /// When a gateway was first notified that a node is draining or removed, by gateway and node. A node that
+    /// is ready again has no entry.
     pub(super) unavailable_since_us: BTreeMap<(usize, NodeId), u64>,
     pub(super) retries: Vec<Retry>,
     pub(super) volume_buckets: BTreeMap<VolumeId, VolumeBucket>,
-    /// Time before which a gateway must not send the next request for an ordered block.
+    /// End of the ordering gap, by gateway and block: no further request for the block may be sent before it.
     pub(super) ordering_gap_ends_at_us: BTreeMap<(usize, BlockId), u64>,
     /// Events for each gateway's next batch.
     queued_events: Vec<Vec<Event>>,
@@ -295,7 +295,8 @@
         self.queue_event(gateway, Event::ClientDisconnected(RequestId(id)));
     }
 
-    /// Kills and restarts a gateway. All its state is lost; it receives the cached endpoint list.
+    /// Kills and restarts a gateway. The gateway loses its state and its requests, and receives the cached
+    /// endpoint list.
     pub fn restart_gateway(&mut self, gateway: usize, cached: &[Endpoint]) {
         self.gateways[gateway] = scheduler(&self.settings, gateway, self.now_us, self.now_us);
         self.queued_events[gateway].clear();
@@ -307,8 +308,8 @@
         self.update_endpoints(gateway, EndpointUpdate::Cached, cached);
     }
 
-    /// Delivers queued events and due timers, checks the resulting actions, and advances the clock by one
-    /// tick.
+    /// Times out the attempts of expired requests, delivers queued events and due timers, checks the
+    /// resulting actions, and advances the clock by one tick.
     pub fn advance(&mut self) {
         self.time_out_expired_attempts();
         for gateway in 0..self.gateways.len() {
@@ -356,7 +357,8 @@
         }
     }
 
-    /// Answers the attempts that have been in flight for at least their latency.
+    /// Ends each attempt as succeeded if it has been in flight for at least the latency that the function
+    /// returns for it.
     pub fn answer_attempts_after(&mut self, latency_us: impl Fn(&InFlightAttempt) -> u64) {
         for attempt in self.in_flight() {
             if attempt.sent_at_us + latency_us(&attempt) <= self.now_us {
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -1,4 +1,5 @@
-//! Checks every action of a simulated gateway against the rules of the platform, with one function per rule.
+//! Checks the actions of simulated gateways against the rules of the platform, with one function per rule.
+//! `WatchEndpoints` actions are only recorded, and `CancelAttempt` actions are ignored.
 
 use super::fleet::{
     PendingTimer, Retry, SIMULATION_START_US, SentAttempt, SimulatedFleet, TrackedAttempt, TrackedRequest,
@@ -95,8 +96,10 @@
         assert!(tracked.attempts.iter().all(|earlier| !earlier.in_flight), "two attempts of {id} in flight");
     }
 
-    /// Checks that a request that may have run is sent again only if it is idempotent, or while the node
-    /// recognizes its idempotency key.
+    /// Checks that a request that may have run is sent again only if it is idempotent or has an idempotency
+    /// key that the node still recognizes. Unless all nodes recognize the key, only nodes of the shard to
+    /// which the earlier attempt was sent are assumed to recognize it; this also applies to
+    /// `DeduplicationScope::Zone`.
     fn check_idempotency(&self, attempt: &NewAttempt) {
         let (id, shard) = (attempt.request, self.nodes[&attempt.node].shard);
         let tracked = &self.requests[&id];
@@ -119,8 +122,8 @@
         }
     }
 
-    /// Checks that the gateway was not notified, longer ago than the drain grace, that the node is draining
-    /// or gone.
+    /// Checks that an attempt to a draining or removed node is sent at most `checked_drain_grace_us` after
+    /// the gateway was notified of that state.
     fn check_node_is_available(&self, attempt: &NewAttempt) {
         let key = (attempt.gateway, attempt.node.clone());
         if let Some(since_us) = self.unavailable_since_us.get(&key) {
@@ -129,8 +132,8 @@
         }
     }
 
-    /// Checks that a gateway sends the requests for an ordered block one at a time, in order of arrival, and
-    /// leaves a gap after an attempt that may still be running.
+    /// Checks that a gateway sends the requests for an ordered block one at a time, in order of their ids,
+    /// and leaves a gap after an attempt that may still be running. Tests assign ids in order of arrival.
     fn check_ordering(&self, attempt: &NewAttempt) {
         let (gateway, id) = (attempt.gateway, attempt.request);
         let tracked = &self.requests[&id];
@@ -201,8 +204,8 @@
         });
     }
 
-    /// Checks that what all gateways together have sent to a warming-up node within the window does not
-    /// exceed what the node is guaranteed to sustain.
+    /// Checks that all gateways together have not sent a warming-up node more units within the window of the
+    /// policy than the node is guaranteed to sustain.
     fn check_slow_start(&self, node: &NodeId) {
         let now_us = self.now_us;
         let (Some(policy), Some(started_at_us)) = (self.settings.slow_start, self.nodes[node].started_at_us)
--- a/tests/exchange_player/mod.rs
+++ b/tests/exchange_player/mod.rs
@@ -1,9 +1,11 @@
 //! Plays the clients, storage nodes and discovery of a script against the gateway, over real sockets.
 //!
-//! A script is a text file of steps. Each step starts with a command such as `== client a sends` or
-//! `== node n1 gets`; the lines below a sending command are the data to send. The data that the gateway sends
-//! is recorded in a transcript, which the test compares with a snapshot. The duration of a step is never
-//! asserted: a step waits until its data has arrived, and only a failing test reaches [`STEP_TIMEOUT`].
+//! A script starts with free text, which is ignored, followed by steps. Each step starts with a command
+//! such as `== client a sends` or `== node n1 gets`; the lines below a sending command are the data to send.
+//! The data that the gateway sends is recorded in a transcript, which the test compares with a snapshot.
+//!
+//! Steps that read from a connection wait until the data arrives, at most [`STEP_TIMEOUT`]. Tests do not
+//! check how long a step takes.
 
 mod gateway_process;
 mod peers;
@@ -18,12 +20,13 @@
 use std::time::{Duration, Instant};
 use transcript::{Placeholders, Transcript};
 
-/// Maximum time that a step waits for the event or the data that it expects.
+/// Maximum time that a step waits for an event, or for the next bytes from a connection. Steps that read the
+/// gateway's log or wait for its exit have no time limit.
 const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between two checks for the event that a step expects.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// The peers that listen. Scripts and configurations refer to their addresses as `{n1}`, `{n2}` and
-/// `{discovery}`.
+/// The peers that accept connections: two storage nodes and discovery, which scripts also address as a node.
+/// Scripts and configurations refer to their addresses as `{n1}`, `{n2}` and `{discovery}`.
 const NODES: [&str; 3] = ["n1", "n2", "discovery"];
 /// Name of the client that connects to the admin API; all other clients connect to the client address.
 const ADMIN_CLIENT: &str = "admin";
--- a/tests/exchange_player/peers.rs
+++ b/tests/exchange_player/peers.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A storage node or discovery.
+/// A peer that accepts connections from the gateway: a storage node or discovery.
 pub struct NodePeer {
     /// `None` after [`terminate`](Self::terminate).
     listener: Option<TcpListener>,
@@ -103,8 +103,8 @@
         })
     }
 
-    /// Accepts a pending connection, if any, and makes the last readable connection the current one. Returns
-    /// whether there is a readable connection.
+    /// Accepts one pending connection, if any. Then moves the last connection with unread bytes to the end of
+    /// the list, which makes it the current one. Returns whether there is a connection with unread bytes.
     pub fn poll_for_bytes(&mut self) -> bool {
         if let Some(Ok((connection, _))) = self.listener.as_ref().map(|listener| listener.accept()) {
             connection.set_nonblocking(false).unwrap();
--- a/tests/exchange_player/script.rs
+++ b/tests/exchange_player/script.rs
@@ -1,17 +1,18 @@
 //! Parses test scripts.
 //!
-//! A script is a comment followed by steps. A step is a line with `== ` and a command from the table below,
-//! followed by the step's content: the lines up to the next command. The content of a message or a file may
-//! contain placeholders: `{n1}`, `{n2}` and `{discovery}` are the addresses of the two storage nodes and of
-//! discovery, `{upload}` is the first upload identifier that a client has received, and `{len}` in the head
-//! of a message is the length of the body. In a command, `N` names a storage node or discovery, and `C` names
-//! a client.
+//! A script starts with free text, which is ignored, followed by steps. A step is a line with `== ` and a
+//! command from the table below, followed by the step's content: the lines up to the next command. In a
+//! command, `C` is the name of a client, and `N` is the name of a storage node or discovery.
+//!
+//! The content of a message or a file may contain placeholders: `{n1}`, `{n2}` and `{discovery}` are the
+//! addresses of the two storage nodes and of discovery, `{upload}` is the first upload identifier that a
+//! client has received, and `{len}` in the head of a message is the length of the body in bytes.
 //!
 //! | command | effect |
 //! | --- | --- |
 //! | `client C sends` | the client connects if necessary and sends the content as an HTTP message |
 //! | `client C adds` | the client connects if necessary and sends the content unchanged |
-//! | `client C adds chunk` | the client sends the content as a chunk of a body; an empty chunk ends it |
+//! | `client C adds chunk` | the client sends the content as a chunk; an empty chunk ends the body |
 //! | `client C gets` | the client reads a message |
 //! | `client C gets head` | the client reads the head of a message |
 //! | `client C gets all` | the client reads until the gateway closes the connection |
@@ -27,9 +28,9 @@
 //! | `node N is full` | fills the node's backlog: new connections are not established |
 //! | `node N comes up` | frees the node's backlog: new connections are established again |
 //! | `node N is tried` | waits until the gateway is connecting to the node |
-//! | `node N is tried or C answered` | waits until the gateway connects to the node or answers C |
+//! | `node N is tried or C answered` | as `node N is tried`, or until C is answered or disconnected |
 //! | `node N is reached` | waits until a new connection from the gateway is established |
-//! | `node is told at most MS` | checks that the last `Req-Deadline` sent to a node is at most MS ms |
+//! | `node is told at most MS` | checks that the last `Req-Deadline` that a node has read is at most MS ms |
 //! | `file NAME` | writes the content to a file of the configuration |
 //! | `file NAME names TO for FROM` | replaces the first occurrence of the address FROM in the file with TO |
 //! | `wait MS` | pauses the script for MS milliseconds |
@@ -65,7 +66,7 @@
         name: String,
         action: NodeAction,
     },
-    /// Checks the `Req-Deadline` of the last request that had one: the time that remained for the node.
+    /// Checks that the last `Req-Deadline` recorded is at most this long.
     CheckDeadline {
         at_most: Duration,
     },
@@ -85,11 +86,11 @@
     Signal {
         name: String,
     },
-    /// Waits until the gateway exits.
+    /// Waits until the gateway exits, and records its exit status and the rest of its log.
     AwaitExit,
 }
 
-/// The action of a client.
+/// An action of a `client C` command.
 pub enum ClientAction {
     /// Sends an HTTP message; in the content, an empty line separates the head from the body.
     SendMessage,
@@ -101,7 +102,7 @@
     Disconnect,
 }
 
-/// The action of a storage node or of discovery.
+/// An action of a `node N` command. `N` is a storage node or discovery; both are called nodes here.
 pub enum NodeAction {
     ReadMessage,
     /// Sends an HTTP message; in the content, an empty line separates the head from the body.
@@ -121,7 +122,7 @@
     FreeBacklog,
     /// Waits until the gateway is connecting to the node.
     AwaitConnectionAttempt,
-    /// Waits until the gateway is connecting to the node or has answered the client.
+    /// Waits until the gateway is connecting to the node, or has answered or disconnected the client.
     AwaitConnectionAttemptOrAnswer {
         client: String,
     },
@@ -137,7 +138,7 @@
     Closed,
 }
 
-/// Parses the steps of a script. The text above the first step is a comment and is ignored.
+/// Parses the steps of a script. The text above the first step is ignored.
 pub fn parse(text: &str) -> Vec<ScriptStep> {
     text.split(STEP_DELIMITER).skip(1).map(parse_step).collect()
 }
--- a/tests/exchange_player/transcript.rs
+++ b/tests/exchange_player/transcript.rs
@@ -7,7 +7,7 @@
 const PLACEHOLDER_HEADERS: [&str; 3] = ["idempotency-key", "req-id", "x-amz-request-id"];
 /// Headers whose values the transcript replaces with `~`.
 const MASKED_HEADERS: [&str; 2] = ["date", DEADLINE_HEADER];
-/// Header with the time that a node has left for a request, such as `12000u` for 12,000 microseconds.
+/// Header with the time that remains for a node to answer a request: `12000u` is 12,000 microseconds.
 const DEADLINE_HEADER: &str = "req-deadline";
 
 /// A name in braces, such as `{n1}`, and the value that it represents.
@@ -76,8 +76,8 @@
         self.text
     }
 
-    /// Returns the time that remained for the node at the last recorded request with a `Req-Deadline`, or
-    /// `None` if there was no such request or its deadline is invalid.
+    /// Returns the `Req-Deadline` of the last recorded request that has one, or `None` if there is no such
+    /// request or the deadline is invalid.
     pub fn remaining_time(&self) -> Option<Duration> {
         self.remaining_time
     }
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -101,8 +101,8 @@
     fleet
 }
 
-/// Fails polls, announces by an update of this kind that n0 is draining, and then submits a request for the
-/// shard of n0 every 100 ms.
+/// Returns a fleet after three phases: `failed_polls` failed polls; an update of this kind that contains n0 as
+/// draining and `other_endpoints`; and 30 requests for the shard of n0, one every 100 ms.
 fn fleet_with_draining_node(
     update: UpdateKind,
     failed_polls: usize,
@@ -127,7 +127,10 @@
 fn draining_nodes_serve_their_shard_within_the_grace() {
     let fleet = fleet_with_draining_node(EndpointUpdate::Delta, 0, &[]);
     let sent = fleet.sent.len();
-    assert!((12..20).contains(&sent), "sent until a connection might be established after the grace: {sent}");
+    assert!(
+        (12..20).contains(&sent),
+        "attempts stop once a connection might be established only after the grace: {sent}"
+    );
     let successor = endpoint("n9", 0, EndpointState::Ready, 0);
     let fleet = fleet_with_draining_node(EndpointUpdate::Delta, 0, &[successor]);
     assert!(
@@ -194,7 +197,7 @@
 }
 
 #[test]
-fn requests_ordered_by_key_run_one_at_a_time() {
+fn requests_ordered_by_block_run_one_at_a_time() {
     let mut fleet = fleet();
     for id in 1..=3 {
         let expires_at_us = fleet.now_us + 2_500_000;
@@ -267,8 +270,8 @@
 }
 
 /// Guards against a volume that bypasses its rate limit by changing its plan. Requests of one volume may have
-/// different plans. A request whose plan has no limit must not give the volume tokens for the plan with a
-/// limit.
+/// different plans. A request whose plan has no limit must not add tokens that requests of the limited plan
+/// can use.
 #[test]
 fn a_plan_without_a_rate_limit_gives_no_tokens_to_a_limited_plan() {
     let mut fleet = fleet();
--- a/tests/scheduler_purity.rs
+++ b/tests/scheduler_purity.rs
@@ -111,8 +111,8 @@
     text.split(|character| !is_word_character(character))
 }
 
-/// Returns the text before and the text from each occurrence of a word on. The second text begins with the
-/// word.
+/// Returns two texts for each occurrence of a word: the text before the word, and the rest, which begins with
+/// the word.
 fn occurrences<'a>(code: &'a str, word: &'a str) -> impl Iterator<Item = (&'a str, &'a str)> {
     let split = code.match_indices(word).map(|(position, _)| code.split_at(position));
     split.filter(move |(before, rest)| !before.ends_with(is_word_character) && begins_with(rest, word))
--- a/tests/scheduling_deviations.rs
+++ b/tests/scheduling_deviations.rs
@@ -82,7 +82,7 @@
         }
         fleet.advance();
     }
-    assert!(fleet.sent.len() < 10, "backoff reduces the attempts at a dead node: {}", fleet.sent.len());
+    assert!(fleet.sent.len() < 10, "backoff limits the attempts at a failing node: {}", fleet.sent.len());
 }
 
 #[test]
@@ -100,8 +100,8 @@
     fleet.run_answering_after(1_500_000, 5_000);
     let has_ended_attempt =
         |tracked: &&TrackedRequest| tracked.attempts.iter().any(|attempt| !attempt.in_flight);
-    let served = fleet.requests.values().filter(has_ended_attempt).count();
-    assert!(served >= 15, "the remaining requests are served once the node answers: {served}");
+    let attempted = fleet.requests.values().filter(has_ended_attempt).count();
+    assert!(attempted >= 15, "{attempted} of 20 requests have an ended attempt once the node answers");
 }
 
 #[test]
@@ -177,7 +177,9 @@
     assert!(to_slow_node <= 2, "{to_slow_node} of 20 went to the slow node");
 }
 
-/// Returns settings for one class with this objective. Most numbers in them that may be zero are zero.
+/// Returns degenerate settings with one class and one plan. The class has this latency objective, and its
+/// deadline and priority weight are 0. The provisioned rate, the batch interval, the answer grace, the
+/// request sizes and all fields of slow start are also 0, and the rate limit is almost 0.
 fn zero_settings(latency_objective_us: Option<u64>) -> SchedulerSettings {
     let limit = RateLimit { rate: 1e-9, ..settings().plans[0].rate_limit.unwrap() };
     SchedulerSettings {
@@ -236,11 +238,11 @@
     }
 }
 
-/// Submits a background request and a latency-bound request for each of `slots` slots of a node. Returns the
-/// number of slots in which the background request was sent first.
-fn slots_used_by_background(fleet: &mut SimulatedFleet, slots: u32) -> usize {
+/// In each of `rounds` rounds, submits a background request and a latency-bound request, and lets the node
+/// answer them. Returns in how many rounds the background request was sent first.
+fn rounds_with_background_first(fleet: &mut SimulatedFleet, rounds: u32) -> usize {
     let mut count = 0;
-    for id in (1_000..1_000 + 2 * slots).step_by(2) {
+    for id in (1_000..1_000 + 2 * rounds).step_by(2) {
         fleet.submit_of_class(id, 2);
         fleet.submit_of_class(id + 1, 0);
         let before = fleet.sent.len();
@@ -255,13 +257,14 @@
 #[test]
 fn alpha_starts_at_one_and_falls_to_its_lower_bound_if_objectives_are_met() {
     let mut fleet = single_gateway();
-    let background_slots = slots_used_by_background(&mut fleet, 7);
-    assert_eq!(background_slots, 0, "without measurements, latency-bound requests are sent first");
+    let background_first = rounds_with_background_first(&mut fleet, 7);
+    assert_eq!(background_first, 0, "without measurements, latency-bound requests are sent first");
     let mut fleet = gateway_with_history(80, 50_000);
-    let background_slots = slots_used_by_background(&mut fleet, 20);
+    let background_first = rounds_with_background_first(&mut fleet, 20);
     assert!(
-        (12..=19).contains(&background_slots),
-        "about nine in ten; the lower bound of alpha keeps it from all: {background_slots}"
+        (12..=19).contains(&background_first),
+        "the background request is first in about nine of ten rounds, because alpha has a positive lower \
+         bound: {background_first} of 20"
     );
 }
 
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns the ready endpoint of the node, which started at this time, or long ago if that is 0.
+/// Returns the endpoint of the node, ready, with this start time; 0 means that the node started long ago.
 fn node_started_at(started_at_us: u64) -> Endpoint {
     endpoint("n", 0, EndpointState::Ready, started_at_us)
 }
@@ -48,7 +48,7 @@
     latency_us: u64,
 }
 
-/// Units that a gateway sent after it was notified of the node's latest start.
+/// The units of one attempt, sent by a gateway that was already notified of the node's latest restart.
 #[derive(Clone, Copy)]
 struct SentUnits {
     at_us: u64,
@@ -76,7 +76,8 @@
     idle_at_us: f64,
     queue: Vec<QueuedAttempt>,
     request_units: BTreeMap<u32, f64>,
-    /// Units sent within the window of the policy by gateways that were notified of the latest restart.
+    /// Attempts sent within the window of the policy by gateways that were already notified of the latest
+    /// restart.
     recently_sent: VecDeque<SentUnits>,
     /// Units sent to the node while it warmed up, except in the first two windows after its start.
     units_sent_after_first_windows: f64,
@@ -167,6 +168,8 @@
         self.queue.retain(|attempt| attempt.gateway != gateway);
     }
 
+    /// Submits a request with probability 0.9 / gateway count, so that the fleet submits 0.9 requests per
+    /// round on average. Sizes are 1 to 8 units; small sizes are more probable.
     fn submit_at_random(&mut self, gateway: usize, round: u32) {
         let gateways = self.gateways.len();
         if self.random.usize(0..gateways * 10) >= 9 {
@@ -243,8 +246,8 @@
 /// Guards against overloading or idling a node that is warming up, with 3, 45 and 170 gateways. Together they
 /// request about twice what the node can serve. They are notified of its restarts at different times, and
 /// some of them restart with an older endpoint list. The gateways that were notified must stay within the
-/// allowance, and the node must be sent more than a quarter (3 gateways) or four tenths of the units that it
-/// can serve.
+/// allowance, and all gateways together must send more than four tenths of the units that the node can serve;
+/// with 3 gateways, more than a quarter.
 #[test]
 fn a_fleet_uses_but_does_not_exceed_the_allowance_of_a_warming_up_node() {
     for gateways in [3usize, 45, 170] {
@@ -277,7 +280,7 @@
 }
 
 impl FleetRestartedWithNode {
-    /// Size of each request, in units.
+    /// Size of each request, in units. `incoming_request` sets this size; the constant must match it.
     const REQUEST_UNITS: f64 = 2.0;
 
     fn new(gateway_count: usize) -> Self {
@@ -349,8 +352,8 @@
 }
 
 /// Guards against a node that idles after a release has restarted gateways and nodes together. The restarted
-/// gateways have not observed the node at its full capacity. They must send it more than four tenths of the
-/// units requested, which are within the reservations, and together must stay within the allowance.
+/// gateways have not observed the node at its full capacity. The units requested are within the reservations.
+/// The gateways must send more than four tenths of them, and together must stay within the allowance.
 #[test]
 fn restarted_gateways_send_reserved_requests_to_a_warming_up_node() {
     let mut fleet = FleetRestartedWithNode::new(60);
