--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers for the tests of the scheduler: builders of its inputs, and a simulated fleet of gateways that
-//! checks every action against the rules of the platform.
+//! checks their actions against the rules of the platform.
 
 // Each test binary uses only part of this module.
 #![allow(dead_code)]
--- a/tests/common/rules.rs
+++ b/tests/common/rules.rs
@@ -58,7 +58,8 @@
         tracked.finished = true;
     }
 
-    /// Checks that a rejected request did not run, or may run again at any node.
+    /// Checks that a rejected request has no final answer yet, and that it either cannot have run or may run
+    /// again at any node.
     fn check_may_be_rejected(&self, id: u32) {
         let tracked = self.requests.get(&id).expect("a request in flight");
         assert!(!tracked.finished, "second answer for {id}");
--- a/tests/exchange_player/transcript.rs
+++ b/tests/exchange_player/transcript.rs
@@ -90,7 +90,7 @@
         self.text.push_str(text);
     }
 
-    /// Records a message or a log line, with its varying values masked.
+    /// Records a message or a log line, and masks the values in it that differ between runs.
     pub fn record(&mut self, bytes: &[u8]) {
         let received = String::from_utf8_lossy(bytes).replace("\r\n", "\n");
         let mut text = received.clone();
--- a/tests/latency_objectives.rs
+++ b/tests/latency_objectives.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// Guards against a volume at its rate limit whose requests are all sent late. A request that could be sent
-/// only after its objective is dropped in favor of those that can still meet theirs.
+/// Guards against a volume at its rate limit whose requests are all sent late. The gateway drops a request
+/// that could be sent only after its objective, in favor of requests that can still meet theirs.
 #[test]
 fn rate_limited_requests_are_not_sent_after_their_objective() {
     let mut fleet = SimulatedFleet::without_slow_start_and_retry_budget(1, 1);
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -1,5 +1,5 @@
 //! Tests of the rules of the platform. Each test runs a sequence of events for one rule, and the simulated
-//! fleet checks every action against all rules.
+//! fleet checks the gateways' actions against all rules.
 
 mod common;
 use common::*;
@@ -101,8 +101,9 @@
     fleet
 }
 
-/// Returns a fleet after three phases: `failed_polls` failed polls; an update of this kind that contains n0 as
-/// draining and `other_endpoints`; and 30 requests for the shard of n0, one every 100 ms.
+/// Returns a fleet after three phases: first `failed_polls` failed polls, then an update of this kind that
+/// contains `other_endpoints` and the draining node n0, and then 30 requests for the shard of n0, one every
+/// 100 ms.
 fn fleet_with_draining_node(
     update: UpdateKind,
     failed_polls: usize,
--- a/tests/random_event_sequences.rs
+++ b/tests/random_event_sequences.rs
@@ -1,5 +1,5 @@
-//! Property test: delivers random sequences of events to several gateways. The simulated fleet checks every
-//! action against the rules of the platform.
+//! Property test: delivers random sequences of events to several gateways. The simulated fleet checks the
+//! gateways' actions against the rules of the platform.
 
 mod common;
 use common::*;
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -255,11 +255,11 @@
         for round in 0u32..1_600 {
             simulation.run_round(round);
         }
-        let (served, servable) = (simulation.units_sent_after_first_windows, simulation.servable_units);
+        let (sent, servable) = (simulation.units_sent_after_first_windows, simulation.servable_units);
         let min_fraction = if gateways > 3 { 0.4 } else { 0.25 };
         assert!(
-            served > min_fraction * servable,
-            "{gateways} gateways sent a warming-up node {served} units, it could serve {servable}"
+            sent > min_fraction * servable,
+            "{gateways} gateways sent a warming-up node {sent} units, it could serve {servable}"
         );
     }
 }
@@ -361,6 +361,6 @@
         fleet.run_round(round);
     }
     let (started_at_us, requested) = (fleet.node_started_at_us, fleet.requested_units);
-    let served = fleet.units_sent(|at_us| at_us > started_at_us + 2 * SECOND);
-    assert!(served > 0.4 * requested, "{served} units sent, {requested} requested");
+    let sent = fleet.units_sent(|at_us| at_us > started_at_us + 2 * SECOND);
+    assert!(sent > 0.4 * requested, "{sent} units sent, {requested} requested");
 }
