--- a/src/gateway/admin_frontend.rs
+++ b/src/gateway/admin_frontend.rs
@@ -18,14 +18,14 @@
 /// Maximum length of a request's body, in bytes.
 const MAX_BODY_LEN: usize = 64 * 1024;
 
-/// Front end for the administration API. All requests, including health checks, need the administration's
-/// bearer token.
+/// Front end for the administration API. All requests, including health checks, need the bearer token of the
+/// administration API.
 pub struct AdminFrontend {
     /// Hash of the bearer token that authorizes requests.
     pub token_hash: TokenHash,
     /// The tenants, shared with the object front end, so that changes take effect at once.
     pub tenants: TenantRegistry,
-    /// Sender of commands to the inventory's actor.
+    /// Sender of commands to the inventory actor.
     pub inventory: mpsc::UnboundedSender<InventoryCommand>,
     /// The gateway's counters, which `/v1/counters` reports.
     pub metrics: Rc<GatewayMetrics>,
@@ -48,7 +48,7 @@
         AdminResponse { status, body: json!({"error": text.into()}) }
     }
 
-    /// Returns the response for the case that the inventory's actor has ended because the gateway is shutting
+    /// Returns the response for the case that the inventory actor has ended because the gateway is shutting
     /// down.
     fn stopping() -> Self {
         Self::error(StatusCode::SERVICE_UNAVAILABLE, "stopping")
@@ -197,8 +197,7 @@
         }
     }
 
-    /// Sends a command to the inventory's actor and waits for the reply. Returns `None` if the actor has
-    /// ended.
+    /// Sends a command to the inventory actor and waits for the reply. Returns `None` if the actor has ended.
     async fn query_inventory<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> InventoryCommand,
@@ -210,7 +209,7 @@
 }
 
 /// Returns the response to a command that sets the state of a node. `node_exists` is whether the inventory
-/// contains the node; `None` if the inventory's actor has ended.
+/// contains the node; `None` if the inventory actor has ended.
 fn node_response(name: &str, state: &str, node_exists: Option<bool>) -> AdminResponse {
     match node_exists {
         Some(true) => AdminResponse::ok(json!({"node": name, "state": state})),
--- a/src/gateway/config/object/error.rs
+++ b/src/gateway/config/object/error.rs
@@ -38,7 +38,8 @@
     /// A rate, weight or factor of a plan is negative or not finite.
     #[error("a plan's figures must be 0 or above")]
     InvalidPlan,
-    /// The file defines no plan, or this gateway's number is not below the number of gateways.
+    /// One of two faults: the file defines no plan, or this gateway's number is not below the number of
+    /// gateways.
     #[error("there must be at least one plan, and gateway.number must be below gateway.gateways")]
     NoPlanOrInvalidGatewayNumber,
     /// The file that contains the upload secret cannot be read.
--- a/src/gateway/config/object/file.rs
+++ b/src/gateway/config/object/file.rs
@@ -46,7 +46,7 @@
     /// Maximum length of a response that is read completely before any of it is sent to the client, in bytes.
     #[serde(default = "default_response_buffer_len", rename = "buffer")]
     pub response_buffer_len: u64,
-    /// Memory reserved for the bodies of all concurrent requests and responses, in bytes.
+    /// Maximum memory that all concurrent requests together reserve for bodies, in bytes.
     #[serde(default = "default_body_memory", rename = "memory")]
     pub body_memory: u64,
     /// Time without any received data after which a response has stalled.
--- a/src/gateway/config/object/mod.rs
+++ b/src/gateway/config/object/mod.rs
@@ -21,8 +21,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Maximum deadline of a class, in milliseconds: one hour. This limit is defined by the gateway, not by the
-/// platform.
+/// Maximum deadline of a class, in milliseconds: one hour. The gateway defines this limit, not the platform.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
 /// The configuration of an object gateway.
@@ -35,7 +34,7 @@
     pub admin_token_hash: TokenHash,
     /// Maximum number of open file descriptors of the process.
     pub descriptors: usize,
-    /// Memory reserved for the bodies of all concurrent requests and responses, in bytes.
+    /// Maximum memory that all concurrent requests together reserve for bodies, in bytes.
     pub body_memory: u64,
     /// Time after which a storage node closes an idle connection.
     pub node_idle_timeout: Duration,
@@ -47,7 +46,8 @@
     pub inventory: InventorySource,
     /// The tenants that the file defines.
     pub tenants: TenantRegistry,
-    /// Settings of the scheduler.
+    /// Settings of the scheduler: the classes and plans in the file, and constants that the file does not
+    /// contain.
     pub settings: SchedulerSettings,
 }
 
@@ -169,6 +169,7 @@
     number.is_finite() && number >= 0.0
 }
 
+/// Checks that the file defines a plan, and that this gateway's number is below the number of gateways.
 fn validate_gateway(gateway: &GatewaySection, plans: &[PlanSection]) -> Result<(), ObjectConfigError> {
     // The second condition also rejects a gateway count of 0.
     if plans.is_empty() || gateway.index >= gateway.count {
--- a/src/gateway/config/object/settings.rs
+++ b/src/gateway/config/object/settings.rs
@@ -1,13 +1,13 @@
-//! Derives the scheduler's settings for the object API from the operator's file.
+//! Derives the scheduler's settings for the object API from the operator's configuration file.
 //!
-//! Settings that the file does not contain are constants. If the platform's settings include the setting, the
-//! constant is its value in the example settings on the Wire page, unless stated otherwise.
+//! Settings that the file does not contain are fixed. The named constants have the values of the Wire page's
+//! example, unless a comment names another source.
 
 use super::file::{ClassSection, ObjectConfigFile, PlanSection};
 use crate::scheduler::{DeduplicationScope, Idempotency, RequestClass, SchedulerSettings, ServicePlan};
 
 /// Maximum size of a request in units: 4 MiB at the default unit size. Larger requests count as this many
-/// units. This limit is defined by the gateway, not by the platform.
+/// units. The gateway defines this limit, not the platform.
 pub const MAX_REQUEST_UNITS: u64 = 64;
 /// Mean size of a request in units, close to `usualUnits` in the Wire page's example (2.16).
 const MEAN_REQUEST_UNITS: f64 = 2.0;
@@ -18,8 +18,8 @@
 /// Time after which an attempt to connect to a node has failed: `connectTimeoutUs` in the Wire page's
 /// example.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
-/// Maximum `Retry-After` that clients are expected to honor. The object API sends it in whole seconds. This
-/// value is defined by the gateway, not by the platform.
+/// Maximum `Retry-After` that clients are expected to honor. The object API sends it in whole seconds. The
+/// gateway defines this value, not the platform.
 const MAX_RETRY_AFTER_US: u64 = 5_000_000;
 /// Time after the client's deadline during which a final answer is still accepted: `graceToAnswerUs` in the
 /// Wire page's example.
@@ -27,8 +27,8 @@
 /// Fraction of the priority weight that an answer past the latency objective earns: the smallest `lateValue`
 /// in the Wire page's example.
 const LATE_WEIGHT_FACTOR: f64 = 0.1;
-/// Factor by which the priority weight of requests beyond the reservation is multiplied: `withinShare` in the
-/// Wire page's example, which is meant for units beyond the reservation but within the fair share.
+/// Factor on the priority weight of all requests beyond the volume's reservation: `withinShare` in the Wire
+/// page's example. That setting is meant only for units that exceed the reservation but not the fair share.
 const UNRESERVED_WEIGHT_FACTOR: f64 = 0.35;
 
 /// Returns the scheduler's settings for a file that has been validated.
@@ -39,7 +39,7 @@
         deduplication_window_us: write.deduplication_window_ms * 1_000,
     };
     SchedulerSettings {
-        // Ordered by the numbers of `ObjectClass`.
+        // In the order of `ObjectClass`, whose values are the indices of the classes.
         classes: vec![
             request_class(&file.classes.read, Idempotency::Idempotent),
             request_class(write, write_idempotency),
--- a/src/gateway/config/platform.rs
+++ b/src/gateway/config/platform.rs
@@ -67,8 +67,8 @@
     pub seed: u64,
     /// Maximum number of open file descriptors of the process; 1024 if the file does not specify it.
     pub descriptors: usize,
-    /// The endpoint list that this gateway had most recently, which may be out of date; `None` if the file
-    /// contains none or a malformed one.
+    /// The most recent endpoint list that this gateway had before it started, which may be out of date;
+    /// `None` if the file contains none or a malformed one.
     pub cached_list: Option<EndpointList>,
     /// Names by which requests refer to classes and plans.
     pub names: NameTable,
@@ -76,7 +76,7 @@
     pub zone_names: Vec<String>,
     /// Time after which a storage node closes an idle connection; 15 s if the settings do not specify it.
     pub node_idle_timeout: Duration,
-    /// Settings of the scheduler.
+    /// Settings of the scheduler, with at least one request class and one service plan.
     pub settings: SchedulerSettings,
 }
 
--- a/src/gateway/descriptors.rs
+++ b/src/gateway/descriptors.rs
@@ -49,9 +49,9 @@
 
 /// Connection limits for clients and for storage nodes.
 pub struct ConnectionBudget {
-    /// Limits for connections from clients.
+    /// Maximum numbers of client connections that are served, and of those that are rejected as overload.
     pub clients: ConnectionLimits,
-    /// Limits and timeouts for connections to storage nodes.
+    /// Maximum number of connections to all storage nodes together, and their timeouts.
     pub nodes: PoolLimits,
 }
 
--- a/src/gateway/inventory/actor.rs
+++ b/src/gateway/inventory/actor.rs
@@ -24,7 +24,7 @@
         /// The reply is whether the inventory contains the node.
         reply: oneshot::Sender<bool>,
     },
-    /// End the drain of a storage node, which returns to its state in the inventory file.
+    /// End the drain of a storage node. The node then has the state that the inventory file states.
     ReturnNode {
         /// Name of the node.
         node: String,
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Returns the state of a node, including the effect of an operator's drain.
+    /// Returns the state of a node: draining if an operator drains it and it is ready in the inventory,
+    /// otherwise its state in the inventory.
     fn state(&self, node: &InventoryNode) -> EndpointState {
         match node.state {
             EndpointState::Ready if self.drained_nodes.contains(&node.name) => EndpointState::Draining,
--- a/src/gateway/inventory/racks.rs
+++ b/src/gateway/inventory/racks.rs
@@ -4,8 +4,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The racks seen so far, each with its number, which the scheduler uses as the shard number. The number of a
-/// rack never changes. Clones share one registry.
+/// The racks registered so far, each with a number, which the scheduler uses as the shard number. The number
+/// of a rack never changes. Clones share one registry.
 #[derive(Clone, Default)]
 pub struct RackRegistry(Rc<RefCell<Vec<String>>>);
 
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -19,9 +19,9 @@
     /// Requests rejected because too many connections are open, which the limit on file descriptors
     /// determines, or because too much memory is reserved for bodies.
     pub overload: Counter,
-    /// Calls to discovery: polls and watches of the endpoint list.
+    /// Polls of the endpoint list, including watches.
     pub list_calls: Counter,
-    /// Calls to discovery that failed or timed out, not including those that returned a malformed list.
+    /// Polls that failed or timed out, not including those that returned a malformed list.
     pub list_failures: Counter,
     /// Endpoint lists that could not be decoded; the previous list stayed in effect.
     pub list_malformed: Counter,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,19 +3,19 @@
 //! There are two kinds of gateway:
 //! - The platform gateway serves the platform's protocol. The platform provides its configuration, and it
 //!   polls discovery for storage nodes.
-//! - The object gateway serves the object API and an administration API. An operator's file configures it,
-//!   and it reads the storage nodes from an inventory.
+//! - The object gateway serves the object API and an administration API. An operator's configuration file
+//!   configures it, and it reads the storage nodes from an inventory.
 //!
-//! `startup` starts either kind. The modules below that are not specific to one kind are shared.
+//! | area | both kinds | platform gateway | object gateway |
+//! | --- | --- | --- | --- |
+//! | startup | `config`, `startup`, `error`, `log` | | |
+//! | lifecycle | `signals`, `shutdown`, `reload` | | |
+//! | front ends | `frontend` | `platform_frontend` | `object_frontend`, `admin_frontend` |
+//! | object API | | | `tenants`, `object_limits`, `hashing` |
+//! | storage nodes | `node_registry`, `node_transport`, `descriptors` | `discovery` | `inventory` |
+//! | metrics | `metrics` | | |
 //!
-//! | area | modules |
-//! | --- | --- |
-//! | startup | `config`, `startup`, `error`, `log` |
-//! | lifecycle | `signals`, `shutdown`, `reload` |
-//! | front ends | `frontend` (shared), `platform_frontend`, `object_frontend`, `admin_frontend` |
-//! | object API | `tenants`, `object_limits`, and `hashing` for object placement |
-//! | storage nodes | `discovery` or `inventory`, then `node_registry`, `node_transport`, `descriptors` |
-//! | metrics | `metrics` |
+//! `hashing` is used for object placement, idempotency keys, and ids of volumes and blocks.
 
 mod admin_frontend;
 mod config;
@@ -57,7 +57,8 @@
     Ok(())
 }
 
-/// Runs an object gateway, configured by the operator's file, until it has shut down after SIGTERM or SIGINT.
+/// Runs an object gateway until it has shut down after SIGTERM or SIGINT. `config_file` is the path of the
+/// operator's configuration file.
 ///
 /// # Errors
 ///
--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -27,8 +27,8 @@
     /// Converts a response that has been read completely.
     fn complete_response(response: Response<Bytes>) -> Self::Response;
 
-    /// Converts a response whose body is streamed. Returns `None`, the default, in a protocol whose
-    /// [`ResponsePolicy`] streams no response.
+    /// Converts a response whose body is streamed. Protocols that stream responses must override this method;
+    /// the default returns `None`.
     fn streamed_response(_response: Response<StreamedBody>) -> Option<Self::Response> {
         None
     }
@@ -45,8 +45,8 @@
     pub streaming: StreamingRule,
 }
 
-/// Sends an attempt to its storage node. The end of the attempt is reported to `router`, as
-/// [`AttemptOutcome::ConnectFailed`] if the node is no longer in the registry.
+/// Sends an attempt to its storage node and reports the attempt's result to `router`. If the node is no
+/// longer registered, the outcome is [`AttemptOutcome::ConnectFailed`].
 pub fn start_attempt<P: AttemptPayload>(
     router: &RouterHandle<P, P::Response>,
     nodes: &NodeRegistry,
@@ -106,6 +106,7 @@
             }
             ExchangeEvent::StreamCompleted => match self.streamed_head.take() {
                 Some(head) => result_with_head(head, None),
+                // Cannot occur: a stream completes only after `StreamStarted`, which stores the head.
                 None => AttemptResult::without_response(AttemptOutcome::Succeeded),
             },
             ExchangeEvent::Failed(failure) => AttemptResult::without_response(outcome_of_failure(failure)),
@@ -142,7 +143,8 @@
         }
         ExchangeFailure::RequestNotWritten => AttemptOutcome::ConnectFailed,
         ExchangeFailure::ConnectionReset => AttemptOutcome::ConnectionReset,
-        // The node responded, so the node itself is healthy: only this response is unusable.
+        // The node responded, so the outcome must not count against its health: only this response and its
+        // connection are unusable.
         ExchangeFailure::InvalidResponse => AttemptOutcome::Failed,
         ExchangeFailure::TimedOut => AttemptOutcome::TimedOut,
         ExchangeFailure::Cancelled => AttemptOutcome::Cancelled,
--- a/src/gateway/object_frontend/body.rs
+++ b/src/gateway/object_frontend/body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies, and limits the memory for the bodies of all requests and responses.
+//! Reads request bodies, and limits the memory for request bodies and for buffered responses.
 
 use super::{ObjectFrontend, Rejection};
 use crate::gateway::frontend::{BodyError, read_body};
@@ -15,11 +15,14 @@
 /// Maximum duration for reading the body of a request.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Limits the total memory that the bodies of requests and responses occupy. A semaphore permit represents
-/// [`BYTES_PER_MEMORY_PERMIT`] bytes.
+/// Limits the total memory that requests reserve. A semaphore permit represents [`BYTES_PER_MEMORY_PERMIT`]
+/// bytes.
+///
+/// A request with a body reserves memory for that body only, and a read for the part of the response that may
+/// be buffered. All other requests reserve only the minimum of one permit.
 pub struct BodyMemory(Arc<Semaphore>);
 
-/// A reservation of memory for the bodies of one request. It ends when the last clone is dropped.
+/// The memory that one request has reserved. The reservation ends when the last clone is dropped.
 #[derive(Clone)]
 pub struct BodyPermit {
     _permit: Arc<OwnedSemaphorePermit>,
@@ -31,7 +34,8 @@
         BodyMemory(Arc::new(Semaphore::new((bytes / BYTES_PER_MEMORY_PERMIT) as usize)))
     }
 
-    /// Reserves at least `bytes` bytes; returns `None` if less memory is available.
+    /// Reserves more than `bytes` bytes, but at most one permit more. Returns `None` if less memory is
+    /// available.
     fn try_reserve(&self, bytes: u64) -> Option<BodyPermit> {
         let permits = u32::try_from(bytes / BYTES_PER_MEMORY_PERMIT + 1).unwrap_or(u32::MAX);
         let permit = self.0.clone().try_acquire_many_owned(permits).ok()?;
@@ -40,7 +44,7 @@
 }
 
 impl ObjectFrontend {
-    /// Reserves memory for the body of a request, or for the response if the operation has no request body.
+    /// Reserves memory for the body of a request, or for the buffered response if the operation has no body.
     /// Rejects the request if its body is too large or less memory is available.
     pub(super) fn reserve_memory(&self, request: &ObjectRequest) -> Result<BodyPermit, Rejection> {
         let bytes = if request.operation.has_body() {
@@ -78,8 +82,8 @@
     }
 }
 
-/// Returns the number of bytes to reserve for a response: the maximum length of an object's data that is read
-/// completely before any of it is sent to the client; 0 for responses without an object's data.
+/// Returns the number of bytes to reserve for a response: the part of a read that may be buffered, at most
+/// `response_buffer_len` and at most the requested range; 0 for all other operations.
 fn buffered_response_len(request: &ObjectRequest, limits: &ObjectLimits) -> u64 {
     match &request.operation {
         Operation::Read { head_only: false, range } => range
--- a/src/gateway/object_frontend/incoming_request.rs
+++ b/src/gateway/object_frontend/incoming_request.rs
@@ -49,8 +49,9 @@
         Ok(expires_at_us - RESPONSE_MARGIN_US)
     }
 
-    /// Returns the size of a request in the scheduler's units, at least 1. It depends on the length of the
-    /// requested range, or on the length of the body if no range is requested.
+    /// Returns the size of a request in the scheduler's units, at least 1. The size depends on the length of
+    /// the requested range, which counts as `unit_len` bytes if the range is open-ended, or on the length of
+    /// the body if no range is requested.
     fn units(&self, request: &ObjectRequest, body: &Bytes) -> u64 {
         let length = match &request.operation {
             Operation::Read { range: Some(range), .. } => range.max_len().unwrap_or(self.limits.unit_len),
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -33,7 +33,7 @@
 pub struct ObjectFrontend {
     /// Handle to the router, to which requests are submitted.
     pub router: RouterHandle<ObjectPayload, NodeResponse>,
-    /// The router's clock, on which the expiry of requests is given.
+    /// The router's clock; request expiry times refer to it.
     pub clock: Clock,
     /// The tenants, by whose bearer tokens requests are authorized.
     pub tenants: TenantRegistry,
@@ -43,7 +43,7 @@
     pub upload_key: UploadKey,
     /// Limits on the size and duration of requests and responses.
     pub limits: ObjectLimits,
-    /// Limits the memory that the bodies of all requests and responses occupy.
+    /// Limits the memory that all requests together reserve for bodies.
     pub memory: BodyMemory,
     /// Counts rejected requests.
     pub metrics: Rc<GatewayMetrics>,
--- a/src/gateway/object_frontend/transport.rs
+++ b/src/gateway/object_frontend/transport.rs
@@ -17,8 +17,8 @@
 /// below this limit.
 const MAX_METADATA_LEN: usize = 1 << 20;
 
-/// The payload that the front end submits to the router: a request to a storage node, and the memory reserved
-/// for its bodies.
+/// The payload that the front end submits to the router: a request to a storage node, and the memory
+/// reserved for the client's request.
 pub struct ObjectPayload {
     pub(super) request: NodeRequest,
     pub(super) _memory: BodyPermit,
@@ -87,7 +87,7 @@
     }
 
     fn watch_endpoints(&mut self) {
-        // The inventory's actor publishes changes on its own, and the settings of the object gateway do not
+        // The inventory actor publishes changes on its own, and the settings of the object gateway do not
         // make the scheduler request watches.
     }
 }
--- a/src/gateway/platform_frontend/mod.rs
+++ b/src/gateway/platform_frontend/mod.rs
@@ -38,7 +38,7 @@
 pub struct PlatformFrontend {
     /// Handle to the router, to which requests are submitted.
     pub router: RouterHandle<ForwardedRequest, Bytes>,
-    /// The router's clock, on which the expiry of requests is given.
+    /// The router's clock; request expiry times refer to it.
     pub clock: Clock,
     /// Maps the class and plan names in requests to their indices in the scheduler's settings.
     pub names: NameTable,
@@ -49,7 +49,7 @@
     /// `Retry-After` of the response if too many connections are open, in microseconds; `None` to send no
     /// `Retry-After`.
     pub overload_retry_after_us: Option<u64>,
-    /// States by when all requests must be answered during a graceful shutdown.
+    /// The shutdown schedule, which limits the expiry of requests once a shutdown has started.
     pub shutdown: Rc<ShutdownSchedule>,
     /// Ids of the requests in progress, which must be unique.
     pub open_ids: OpenRequestIds,
@@ -85,6 +85,8 @@
         Ok(self.router.submit(incoming, ForwardedRequest { head, body }).await.into())
     }
 
+    /// Registers the request's id. The `Req-Id` header is always present, because [`client_request::decode`]
+    /// rejects a request without it, so the only possible rejection is that of a duplicate id.
     fn register_id(&self, head: &Parts) -> Result<OpenRequestId<'_>, Rejection> {
         head.headers.get(REQUEST_ID).and_then(|id| self.open_ids.register(id)).ok_or(Rejection::DuplicateId)
     }
@@ -108,10 +110,10 @@
         rejection.into_response(self.overload_retry_after_us)
     }
 
-    /// Returns the time at which a request expires, on the router's clock. `client_timeout_us`, less
-    /// [`RESPONSE_MARGIN_US`], counts from the call, which follows the receipt of the last byte of the
-    /// request. During a graceful shutdown, the request expires no later than the shutdown's response
-    /// deadline.
+    /// Returns the time at which a request expires, on the router's clock. Call this function once the
+    /// request has been received completely: the request expires `client_timeout_us`, capped at
+    /// [`MAX_CLIENT_TIMEOUT_US`], minus [`RESPONSE_MARGIN_US`] after the call. During a graceful shutdown,
+    /// the request expires no later than the shutdown's response deadline.
     fn expires_at_us(&self, client_timeout_us: u64) -> u64 {
         let timeout_us = client_timeout_us.min(MAX_CLIENT_TIMEOUT_US).saturating_sub(RESPONSE_MARGIN_US);
         let until_shutdown_us = match self.shutdown.response_deadline() {
--- a/src/gateway/platform_frontend/transport.rs
+++ b/src/gateway/platform_frontend/transport.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 /// Duration after which a response that has begun counts as malformed if nothing more of it arrives. Storage
-/// nodes write a response at once. The platform's pages do not state this time.
+/// nodes write a complete response at once. The platform's pages do not state this duration.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl AttemptPayload for ForwardedRequest {
@@ -37,8 +37,8 @@
     pub router: RouterHandle<ForwardedRequest, Bytes>,
     /// The storage nodes and their connection pools.
     pub nodes: NodeRegistry,
-    /// Sender of watch requests to the [`EndpointWatcher`](crate::gateway::discovery::EndpointWatcher).
-    pub watch_requests: mpsc::UnboundedSender<()>,
+    /// Sender of watch commands to the [`EndpointWatcher`](crate::gateway::discovery::EndpointWatcher).
+    pub watch_commands: mpsc::UnboundedSender<()>,
 }
 
 impl AttemptTransport<ForwardedRequest> for PlatformTransport {
@@ -53,6 +53,6 @@
 
     fn watch_endpoints(&mut self) {
         // Sending fails only if the endpoint watcher has stopped, which happens only when the program exits.
-        let _ = self.watch_requests.send(());
+        let _ = self.watch_commands.send(());
     }
 }
--- a/src/gateway/shutdown.rs
+++ b/src/gateway/shutdown.rs
@@ -8,11 +8,12 @@
 //! | [`ACCEPT_PERIOD`] after the signal | `Draining` | no connection is accepted; open ones are served |
 //! | the service period after the signal | `FinalResponses` | each response closes its connection |
 //! | [`FINAL_RESPONSES_PERIOD`] later | `ClosingIdle` | idle connections are closed as well |
-//! | [`CLOSING_IDLE_PERIOD`] later | | all requests have been answered |
+//! | [`CLOSING_IDLE_PERIOD`] later | | a platform gateway has answered all requests |
 //!
-//! The service period of a platform gateway ends as late as possible: only the later phases and a safety
-//! margin remain before SIGKILL. Clients keep using their open connections. Closing these connections earlier
-//! would leave the clients without a gateway and would not make the restart any faster.
+//! A platform gateway serves open connections for as long as possible: after its service period, only the
+//! later phases and a safety margin remain before SIGKILL. Clients keep using their open connections. Closing
+//! these connections earlier would leave the clients without a gateway, and the platform would not restart
+//! the gateway any sooner. The service period of an object gateway is [`ACCEPT_PERIOD`].
 
 use crate::transport::LifecyclePhase;
 use std::cell::Cell;
@@ -20,17 +21,16 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Time after the signal during which new connections are accepted. According to the Protocol page
-/// ("Figures"), new connections arrive for up to 0.4 s after SIGTERM, and only requests from the first 0.7 s
-/// after SIGTERM have their full deadline before SIGKILL.
+/// Time after the signal during which new connections are accepted. It must be between 0.4 s and 0.7 s:
+/// according to the Protocol page ("Figures"), new connections arrive for up to 0.4 s after SIGTERM, and only
+/// requests from the first 0.7 s after SIGTERM have their full deadline before SIGKILL.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 /// Duration of the `FinalResponses` phase, after which idle connections are closed.
 const FINAL_RESPONSES_PERIOD: Duration = Duration::from_millis(300);
-/// Time from the start of the `ClosingIdle` phase until all requests must have been answered.
+/// Time from the start of the `ClosingIdle` phase until a platform gateway must have answered all requests.
 const CLOSING_IDLE_PERIOD: Duration = Duration::from_millis(300);
-/// Maximum value at which a request deadline counts toward the time of SIGKILL. The platform sends SIGKILL
-/// no sooner than the longest deadline, capped at this value, plus [`ACCEPT_PERIOD`] after SIGTERM (Protocol
-/// page, "Figures").
+/// Cap on the request deadline in the platform's formula for the earliest SIGKILL: min(longest deadline, this
+/// cap) + [`ACCEPT_PERIOD`] after SIGTERM (Protocol page, "Figures").
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Safety margin between the time by which all requests must have been answered and the earliest SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(200);
@@ -40,28 +40,31 @@
 pub struct ShutdownSchedule {
     /// Time from the signal until the `FinalResponses` phase starts.
     service_period: Cell<Duration>,
-    /// Time by which all requests must be answered; `None` until the shutdown starts.
+    /// Time by which a platform gateway must answer all requests; `None` until the shutdown starts.
     response_deadline: Cell<Option<Instant>>,
 }
 
 impl ShutdownSchedule {
-    /// Returns a schedule whose service period is [`ACCEPT_PERIOD`]: the `Draining` phase has no duration.
+    /// Returns a schedule whose service period is [`ACCEPT_PERIOD`], so that the `Draining` phase has no
+    /// duration.
     pub fn new() -> Self {
         ShutdownSchedule { service_period: Cell::new(ACCEPT_PERIOD), response_deadline: Cell::new(None) }
     }
 
-    /// Returns the time by which all requests must be answered, or `None` if the shutdown has not started.
+    /// Returns the time by which a platform gateway must answer all requests, or `None` if the shutdown has
+    /// not started.
     pub fn response_deadline(&self) -> Option<Instant> {
         self.response_deadline.get()
     }
 
-    /// Extends the service period so that all requests are answered [`SIGKILL_MARGIN`] before the platform's
-    /// earliest SIGKILL, which depends on the longest deadline of any request class. The service period is
-    /// never shorter than [`ACCEPT_PERIOD`].
+    /// Extends the service period of a platform gateway so that all requests are answered [`SIGKILL_MARGIN`]
+    /// before the platform's earliest SIGKILL. The time of this SIGKILL depends on `longest_deadline`, the
+    /// longest deadline of any request class. The service period is never shorter than [`ACCEPT_PERIOD`].
     pub fn extend_service_period(&self, longest_deadline: Duration) {
-        let earliest_sigkill = longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_PERIOD;
-        let time_after_service = SIGKILL_MARGIN + CLOSING_IDLE_PERIOD + FINAL_RESPONSES_PERIOD;
-        self.service_period.set(earliest_sigkill.saturating_sub(time_after_service).max(ACCEPT_PERIOD));
+        let min_time_to_sigkill = longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_PERIOD;
+        let min_time_after_service = SIGKILL_MARGIN + CLOSING_IDLE_PERIOD + FINAL_RESPONSES_PERIOD;
+        self.service_period
+            .set(min_time_to_sigkill.saturating_sub(min_time_after_service).max(ACCEPT_PERIOD));
     }
 
     /// Starts the shutdown and advances `phase` up to [`LifecyclePhase::ClosingIdle`].
--- a/src/gateway/startup/object_gateway.rs
+++ b/src/gateway/startup/object_gateway.rs
@@ -37,11 +37,13 @@
     let hangup = hangup_signal()?;
     let ConnectionBudget { clients, nodes: pool_limits } = connection_budget(&config);
     let nodes = NodeRegistry::new(pool_limits, zone_names(&config.inventory.nodes));
-    let started = GatewayActors::start(config.inventory, config.settings, config.limits, nodes, &context);
-    let GatewayActors { router, racks, inventory, tasks: mut actors } = started;
+    let gateway_actors =
+        GatewayActors::start(config.inventory, config.settings, config.limits, nodes, &context);
+    let GatewayActors { router, racks, inventory, tasks: mut actors } = gateway_actors;
     let GatewayContext { metrics, phase, clock, .. } = context;
-    // This task owns a sender of commands, which keeps the inventory actor running after the administration
-    // API's server has ended.
+    // The inventory actor ends when all command senders are dropped, and the end of an actor stops the
+    // gateway with an error. This task keeps a sender until the process ends, and thus beyond the end of the
+    // administration API's server.
     actors.push(spawn_local(reload_inventory(hangup, inventory.clone(), metrics.clone())));
     let object_frontend = Rc::new(ObjectFrontend {
         router,
--- a/src/gateway/startup/platform_gateway.rs
+++ b/src/gateway/startup/platform_gateway.rs
@@ -34,7 +34,7 @@
     let watch_wait = watch_wait(config.settings.gateway_index, config.settings.gateway_count);
     let (router_actor, router) =
         RequestRouter::new(config.settings, config.seed, clock, metrics.requests.clone());
-    let (watch_requests, watch_request_receiver) = mpsc::unbounded_channel();
+    let (watch_commands, watch_command_receiver) = mpsc::unbounded_channel();
     let (address_sender, discovery_address) = watch::channel(config.discovery);
     let watcher = EndpointWatcher {
         discovery_address,
@@ -44,9 +44,9 @@
         router: router.clone(),
         metrics: metrics.clone(),
     };
-    let transport = PlatformTransport { router: router.clone(), nodes, watch_requests };
+    let transport = PlatformTransport { router: router.clone(), nodes, watch_commands };
     let actors = vec![
-        spawn_local(watcher.run(watch_request_receiver)),
+        spawn_local(watcher.run(watch_command_receiver)),
         spawn_local(router_actor.run(transport)),
         spawn_local(reload_discovery_address(hangup, address_sender, metrics.clone())),
     ];
--- a/src/gateway/tenants/mod.rs
+++ b/src/gateway/tenants/mod.rs
@@ -94,11 +94,12 @@
 }
 
 impl Tenant {
-    /// Returns the rack that stores an object, or `None` if the tenant has no racks.
+    /// Returns the rack that stores an object. Never returns `None` for a validated tenant, which has at
+    /// least one rack.
     ///
     /// The rack is selected by rendezvous hashing: it is the one for which the hash of rack, tenant, bucket
-    /// and key is highest. All gateways select the same rack, and if a rack is removed, only the objects on
-    /// that rack migrate.
+    /// and key is highest. All gateways select the same rack. If a rack is removed, only objects that were
+    /// assigned to it are assigned to another rack; the gateway does not move their data.
     pub fn rack_for_object(&self, bucket: &str, key: &str) -> Option<&String> {
         self.racks.iter().max_by_key(|rack| hash_fields(&[rack.as_str(), &self.name, bucket, key]))
     }
