--- a/src/gateway/discovery.rs
+++ b/src/gateway/discovery.rs
@@ -76,7 +76,8 @@
 
 /// The actor that polls discovery and forwards endpoint lists to the node registry and the router.
 ///
-/// A poll is one request to discovery: a watch, which waits for changes, or a request for the complete list.
+/// A poll requests endpoints from discovery once: a watch waits for changes, and any other poll requests the
+/// complete list.
 pub struct EndpointWatcher<P, R> {
     /// The address of discovery, which a reload of the configuration may change.
     pub discovery_address: watch::Receiver<SocketAddr>,
@@ -126,8 +127,8 @@
     /// Polls discovery until a poll fails or two consecutive watches time out.
     ///
     /// A watch that times out may have missed changes. The platform soon considers the gateway informed of
-    /// these changes, so the watch is reopened at once after the first timeout. The platform may even do so
-    /// already, so the timeout is also reported to the scheduler as a failed poll.
+    /// these changes, so the watch is reopened at once after the first timeout. The platform may already
+    /// consider the gateway informed, so the timeout is also reported to the scheduler as a failed poll.
     ///
     /// If discovery's address changes, aborts the poll and starts a new one at the new address at once,
     /// because discovery may never respond at the old address.
--- a/src/gateway/object_frontend/idempotency.rs
+++ b/src/gateway/object_frontend/idempotency.rs
@@ -12,9 +12,9 @@
 /// Returns the key by which the storage nodes of a rack recognize a repeated write.
 ///
 /// Requests to store the same part, or to complete the same upload, have the same key if their bodies are
-/// equal: they are the same write however often the client sends them. For other operations, only the client
-/// can declare requests to be the same write, by sending an idempotency key of its own. Without one, each
-/// request has a different key.
+/// equal, because they are repetitions of one write. For other operations, only the client can declare
+/// requests to be the same write, by sending an idempotency key of its own. Without one, each request has a
+/// different key.
 pub(super) fn idempotency_key(routed: &RoutedRequest, body: &Bytes, request_id: &str) -> String {
     let request = &routed.request;
     let write = describe_write(routed, request_id);
--- a/src/gateway/object_frontend/mod.rs
+++ b/src/gateway/object_frontend/mod.rs
@@ -35,7 +35,7 @@
     pub router: RouterHandle<ObjectPayload, NodeResponse>,
     /// The router's clock; request expiry times refer to it.
     pub clock: Clock,
-    /// The tenants, by whose bearer tokens requests are authorized.
+    /// The tenants, whose bearer tokens authorize requests.
     pub tenants: TenantRegistry,
     /// Maps the names of racks to the scheduler's shards.
     pub racks: RackRegistry,
