--- a/src/gateway/node_transport.rs
+++ b/src/gateway/node_transport.rs
@@ -138,7 +138,7 @@
 /// Returns the outcome of an attempt whose exchange failed.
 fn outcome_of_failure(failure: ExchangeFailure) -> AttemptOutcome {
     match failure {
-        ExchangeFailure::DescriptorsExhausted | ExchangeFailure::CancelledBeforeSent => {
+        ExchangeFailure::ConnectionLimitReached | ExchangeFailure::CancelledBeforeSent => {
             AttemptOutcome::NotSent
         }
         ExchangeFailure::RequestNotWritten => AttemptOutcome::ConnectFailed,
--- a/src/protocol/inventory/validation.rs
+++ b/src/protocol/inventory/validation.rs
@@ -117,6 +117,7 @@
     }
     match value.parse::<u64>() {
         Ok(since_ms) if since_ms <= MAX_START_MS => Ok((since_ms > 0).then_some(since_ms * 1_000)),
+        // The value is not a number, or exceeds `MAX_START_MS`.
         _ => {
             let message = format!("'{value}' is not a time in milliseconds");
             Err(InventoryFault::new(line, "since_ms", message))
--- a/src/protocol/object/range/mod.rs
+++ b/src/protocol/object/range/mod.rs
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Returns whether a response with this `Content-Range`, and a body of this length if known, contains the
-    /// requested range. Otherwise a faulty node could send bytes that the client mistakes for the requested
-    /// ones.
+    /// Returns whether a response with this `Content-Range`, and a body of this length if known, delivers
+    /// exactly the requested range, cut off at the end of the object. Without this check, the client could
+    /// mistake the bytes of a faulty node for the requested ones.
     pub fn matches(&self, content_range: &str, content_length: Option<u64>) -> bool {
         let Some(content) = ContentRange::decode(content_range) else { return false };
         self.is_satisfied_by(&content)
--- a/src/protocol/object/request.rs
+++ b/src/protocol/object/request.rs
@@ -91,8 +91,9 @@
     pub length: Option<u64>,
 }
 
-/// Returns whether S3 allows this name for a bucket: it has 3 to 63 lower-case letters, digits, hyphens or
-/// dots, and starts and ends with a letter or digit.
+/// Returns whether a bucket's name consists of 3 to 63 lower-case letters, digits, hyphens or dots, and starts
+/// and ends with a letter or digit. These are not all of S3's rules: S3 also forbids adjacent dots and the
+/// form of an IP address, for example.
 pub fn is_valid_bucket_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-.".contains(&byte);
     let ends = [name.bytes().next(), name.bytes().last()];
@@ -105,7 +106,9 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the path, the query or a header is malformed, or the operation is not supported.
+/// Returns an error if the path or the query is malformed, if the operation is not supported, or if the
+/// request has a `Transfer-Encoding` or a body that is signed chunk by chunk. A malformed `Content-Length`
+/// gives a `length` of `None`, and a malformed `Range` is ignored.
 pub fn decode(head: &Parts) -> Result<ObjectRequest, ApiError> {
     let (bucket, key) = decode_path(head.uri.path())?;
     check_body_framing(&head.headers)?;
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -30,9 +30,9 @@
 const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Replaces [`LINGER_TIMEOUT`] during a graceful shutdown, from [`LifecyclePhase::FinalResponses`] on.
 const SHUTDOWN_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Interval at which a client is checked for a disconnect once it has filled the read-ahead buffer with bytes
-/// that follow its request. The platform requires that nothing is forwarded more than 0.1 s after a client
-/// has disconnected.
+/// Interval at which a client is checked for a disconnect while the read-ahead buffer is full. The buffer
+/// contains bytes of the request's body that hyper has not read yet, bytes that follow the request, or both.
+/// The platform requires that nothing is forwarded more than 0.1 s after a client has disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Properties of a request that its connection determines.
@@ -40,9 +40,10 @@
 pub struct RequestContext {
     /// Whether the request is served or is rejected because too many connections are open.
     pub admission: Admission,
-    /// Time at which the first byte of the request was read. Bytes that are read while the previous request
-    /// is served do not count: the time is then that of the first read after the previous response, or, if no
-    /// further byte was needed, the time at which the processing of this request started.
+    /// Time at which hyper read the first byte of the request. If bytes of the request arrived before the
+    /// previous response ended (pipelining), it is the time of hyper's first read after that response. If
+    /// hyper had already read the complete head by then, it is the time at which the processing of the
+    /// request started.
     pub started_at: Instant,
     /// Whether the request has both `Transfer-Encoding` and `Content-Length`.
     pub conflicting_length: bool,
@@ -115,14 +116,14 @@
         let StartedRequest { started_at, guard } = self.slot.start_request();
         let admission =
             if self.table.try_admit(&self.slot) { Admission::Admitted } else { Admission::Overloaded };
-        let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let conflicting_length = chunked && self.read_ahead.conflicting_length();
+        let has_transfer_encoding = request.headers().contains_key(TRANSFER_ENCODING);
+        let conflicting_length = has_transfer_encoding && self.read_ahead.conflicting_length();
         let response = (self.service)(request, RequestContext { admission, started_at, conflicting_length });
         Box::pin(async move {
             let mut response = response.await;
-            // A chunked request closes the connection because an intermediary may treat bytes that follow a
-            // body without `Content-Length` as the rest of that body.
-            if chunked || admission == Admission::Overloaded || self.responses_are_final() {
+            // A request with `Transfer-Encoding` closes the connection because an intermediary may treat bytes
+            // that follow a body without `Content-Length` as the rest of that body.
+            if has_transfer_encoding || admission == Admission::Overloaded || self.responses_are_final() {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(response.map(|body| GuardedBody::new(body, guard).boxed()))
--- a/src/transport/connection_pool/mod.rs
+++ b/src/transport/connection_pool/mod.rs
@@ -37,8 +37,9 @@
 enum Command {
     Execute(Box<Exchange>),
     Return(PooledConnection),
-    /// Closes idle connections that were last used before this time, and drops such connections when they are
-    /// returned.
+    /// Closes idle connections that were last used before this time. A connection in use is not closed: the
+    /// end of its exchange counts as its last use, so it is returned to the pool afterwards, and is dropped
+    /// there only if its exchange ended before this time.
     InvalidateBefore(Instant),
     AddressChanged(SocketAddr),
     NodeRestarted,
@@ -68,12 +69,15 @@
         self.send(Command::Execute(Box::new(exchange)));
     }
 
-    /// Sets the node's new address, and closes the connections to the old one.
+    /// Sets the node's new address, and closes the idle connections to the old one. A connection that is in
+    /// use is not closed: it is returned to the pool when its exchange ends, and may then be reused.
     pub fn address_changed(&self, address: SocketAddr) {
         self.send(Command::AddressChanged(address));
     }
 
-    /// Closes the connections to a node that has restarted, because they belong to its previous process.
+    /// Closes the idle connections to a node that has restarted, because they belong to its previous process.
+    /// A connection that is in use is not closed: it is returned to the pool when its exchange ends, and may
+    /// then be reused if it is still open.
     pub fn node_restarted(&self) {
         self.send(Command::NodeRestarted);
     }
@@ -134,7 +138,7 @@
         self.close_expired();
         let pooled = take_reusable(&mut self.idle);
         let (limits, commands) = (self.limits.clone(), self.commands.clone());
-        tokio::task::spawn_local(execute(exchange, pooled, self.address, limits, commands));
+        tokio::task::spawn_local(run_in_task(exchange, pooled, self.address, limits, commands));
     }
 
     fn close_expired(&mut self) {
@@ -168,7 +172,7 @@
 
 /// Runs an exchange on `pooled`, or on a new connection if `pooled` is `None`. Returns the connection to the
 /// pool if it can be reused.
-async fn execute(
+async fn run_in_task(
     mut exchange: Exchange,
     pooled: Option<PooledConnection>,
     address: SocketAddr,
@@ -210,7 +214,7 @@
     started_at: Instant,
 ) -> Result<PooledConnection, ExchangeFailure> {
     let Ok(permit) = limits.permits.clone().try_acquire_owned() else {
-        return Err(ExchangeFailure::DescriptorsExhausted);
+        return Err(ExchangeFailure::ConnectionLimitReached);
     };
     let connect_deadline = exchange.deadline.min(started_at + limits.connect_timeout);
     let connected = tokio::select! {
--- a/src/transport/exchange/mod.rs
+++ b/src/transport/exchange/mod.rs
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeFailure {
     /// No pooled connection was reusable, and the limit on open connections did not allow a new one.
-    DescriptorsExhausted,
+    ConnectionLimitReached,
     /// The gateway stopped the exchange before the request was written completely, because the exchange was
     /// cancelled or the client no longer waited for the response. The node has not started the request, and
     /// the failure does not indicate a fault of the node.
--- a/src/transport/request_framing/mod.rs
+++ b/src/transport/request_framing/mod.rs
@@ -15,13 +15,14 @@
     RequestLine,
     /// The header fields, or the blank line after them.
     HeaderFields,
-    /// The body of a request that has a `Content-Length` and is not chunked.
+    /// The body of a request that has a `Content-Length` and no `Transfer-Encoding`.
     Body {
         /// Number of bytes of the body that have not been received yet.
         remaining: u64,
     },
-    /// The body of a chunked request. Parsing stops here because such a request is the connection's last.
-    Finished,
+    /// The body of a request with `Transfer-Encoding`, and everything after it. Parsing has stopped because
+    /// such a request is the connection's last.
+    Stopped,
 }
 
 /// Parses the heads of the requests on a client connection as far as needed to find the length of each body.
@@ -34,7 +35,7 @@
     /// value is not a valid number.
     content_length: Option<u64>,
     /// Whether the head being read has a `Transfer-Encoding`.
-    chunked: bool,
+    has_transfer_encoding: bool,
     /// Whether the last complete head had both `Content-Length` and `Transfer-Encoding`.
     conflicting_length: bool,
 }
@@ -44,15 +45,15 @@
     pub(super) fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.state {
-                ParserState::Finished => return,
+                ParserState::Stopped => return,
                 ParserState::Body { remaining } => self.skip_body(remaining, bytes),
                 ParserState::RequestLine | ParserState::HeaderFields => self.read_line(bytes),
             };
         }
     }
 
-    /// Returns whether the chunked request on this connection, which is always its last request, also has a
-    /// `Content-Length`.
+    /// Returns whether the request with `Transfer-Encoding` on this connection, which is always its last
+    /// request, also has a `Content-Length`.
     pub(super) fn conflicting_length(&self) -> bool {
         self.conflicting_length
     }
@@ -90,9 +91,9 @@
 
     fn end_head(&mut self) {
         let content_length = self.content_length.take();
-        self.conflicting_length = self.chunked && content_length.is_some();
+        self.conflicting_length = self.has_transfer_encoding && content_length.is_some();
         self.state = match content_length {
-            _ if self.chunked => ParserState::Finished,
+            _ if self.has_transfer_encoding => ParserState::Stopped,
             None | Some(0) => ParserState::RequestLine,
             Some(remaining) => ParserState::Body { remaining },
         };
@@ -103,7 +104,7 @@
         let name = name_and_value.next().unwrap_or_default();
         let value = name_and_value.next().unwrap_or_default();
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            self.chunked = true;
+            self.has_transfer_encoding = true;
         } else if name.eq_ignore_ascii_case(b"content-length") {
             // hyper rejects requests whose `Content-Length` is not a plain number, and those with several
             // different ones.
