--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -18,8 +18,9 @@
 
 /// The result of checking a request against its volume's rate limit and reservation.
 enum VolumeAdmission {
-    /// The rate limit would not admit the request within its objective, or could never admit it. `wait_us` is
-    /// the time until enough tokens have accumulated.
+    /// The rate limit would not admit the request before its objective and its expiry, or can never admit it.
+    /// `wait_us` is the missing tokens divided by the fill rate. This is the time until enough tokens have
+    /// accumulated, except for a request that can never be admitted: its tokens never accumulate.
     RateLimited { wait_us: u64 },
     /// The request is queued. `reserved` is true if it is within the volume's reservation.
     Admitted { reserved: bool },
@@ -51,7 +52,7 @@
             self.ordering.enqueue(block, incoming.id);
         }
         self.requests.insert(incoming.id, request);
-        self.enqueue(incoming.id);
+        self.place_and_enqueue(incoming.id);
     }
 
     /// Returns the time by which the request should be answered to meet its latency objective. A class
@@ -74,7 +75,8 @@
 
     /// Records the request at its volume, and decides whether it is rejected by the rate limit, admitted
     /// within the reservation, or admitted beyond the reservation. A request that the rate limit cannot admit
-    /// within its objective is rejected at once, because in the queue it would delay all requests behind it.
+    /// before its objective and its expiry is rejected at once, because in the queue it would delay all
+    /// requests behind it.
     fn admit_to_volume(&mut self, incoming: &IncomingRequest, objective_at_us: u64) -> VolumeAdmission {
         let plan = self.settings.plan(incoming.plan);
         let (gateway_count, max_request_units) =
@@ -91,7 +93,7 @@
             let wait_us = volume.rate_limit_wait_us(limit, incoming.units);
             let remaining_us = incoming.expires_at_us.saturating_sub(self.now_us);
             let max_wait_us = objective_at_us.saturating_sub(self.now_us).min(remaining_us);
-            if wait_us >= max_wait_us || volume.exceeds_burst(limit, incoming.units) {
+            if wait_us >= max_wait_us || volume.can_never_admit(limit, incoming.units) {
                 return VolumeAdmission::RateLimited { wait_us };
             }
         }
@@ -128,7 +130,7 @@
 
     /// Appends a request to the queue of its shard. If the shard may still be chosen, first chooses the one
     /// with the shortest expected wait. A request without a shard is not added to any queue.
-    pub(super) fn enqueue(&mut self, id: RequestId) {
+    pub(super) fn place_and_enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.may_change_shard() {
             let chosen = self.choose_shard();
@@ -168,7 +170,7 @@
         } else {
             self.tightest_objective_us * ASSUMED_LATENCY_OBJECTIVE_FRACTION
         };
-        let latency_us = latency_us.max(node.health.oldest_in_flight_us);
+        let latency_us = latency_us.max(node.health.oldest_attempt_age_us);
         let wait_factor = if node.health.is_failing() {
             FAILING_NODE_WAIT_FACTOR
         } else {
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -80,7 +80,7 @@
         }
         let metered = report.volume_rate_percent.filter(|_| self.settings.metering_period_us.is_some());
         if let Some(percent) = metered {
-            volume.record_metered_rate(percent, plan);
+            volume.set_rate_from_metering(percent, plan);
         }
     }
 
@@ -96,9 +96,9 @@
         let tightest_objective_us = self.tightest_objective_us;
         let units = self.requests[&report.request].units;
         let node = &mut self.nodes[attempt.node];
-        // The service time per unit is the upper bound of the fastest eighth of the latencies per unit. Twice
-        // that value approximates the mean service time per unit. Without the factor, the service time of a
-        // large request would be mistaken for queueing.
+        // `service_time_per_unit_us` is the 12.5th percentile of the recent latencies per unit. Twice that
+        // value approximates the mean service time per unit. Without the factor, the service time of a large
+        // request would be mistaken for queueing.
         let queueing_delay_us =
             (report.latency_us as f64 - 2.0 * node.service_time_per_unit_us * units).max(0.0);
         // The latency of a cancelled or timed-out attempt is only a lower bound. It is used only if the
@@ -226,7 +226,7 @@
         if report.is_final || self.requests[&id].is_answered() {
             self.finish(id);
         } else if self.may_be_retried(id, report.outcome) {
-            self.enqueue(id);
+            self.place_and_enqueue(id);
         } else {
             self.reject_or_fail(id, actions);
         }
--- a/src/scheduler/concurrency_window.rs
+++ b/src/scheduler/concurrency_window.rs
@@ -24,9 +24,9 @@
 /// Weight of the latest success in the exponential moving average of a node's queueing delay. The average of
 /// the latency per unit uses twice this weight.
 pub(super) const AVERAGING_WEIGHT: f64 = 0.125;
-/// Divisor of the number of samples that gives the index, in the sorted samples, of the service time per
-/// unit. The service time per unit is the upper bound of the fastest eighth of the latencies per unit.
-const FASTEST_SAMPLES_DIVISOR: usize = 8;
+/// Divisor of the number of samples that gives the index of the service time per unit in the sorted samples.
+/// The service time per unit is an estimate: the 12.5th percentile of the recent latencies per unit.
+const SERVICE_TIME_INDEX_DIVISOR: usize = 8;
 /// Target of the queueing delay at a node, as a fraction of the tightest latency objective. Attempts sent to
 /// the node are paced if the delay exceeds the target while the concurrency window is at its minimum.
 pub(super) const DELAY_TARGET_OBJECTIVE_FRACTION: f64 = 0.5;
@@ -111,15 +111,15 @@
         now_us >= self.adjusted_at_us + expected_latency_us as u64
     }
 
-    /// Starts an adjustment: records its time, updates the median, and returns the service time in
-    /// microseconds per unit, which is the upper bound of the fastest eighth of the samples. There must be at
-    /// least one sample.
+    /// Starts an adjustment: records its time, updates the median, and returns an estimate of the service
+    /// time in microseconds per unit, which is the 12.5th percentile of the samples. There must be at least
+    /// one sample.
     pub(super) fn start_adjustment(&mut self, now_us: u64) -> f64 {
         self.adjusted_at_us = now_us;
         let mut sorted: Vec<f64> = self.samples.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         self.median = sorted[sorted.len() / 2];
-        sorted[sorted.len() / FASTEST_SAMPLES_DIVISOR]
+        sorted[sorted.len() / SERVICE_TIME_INDEX_DIVISOR]
     }
 
     /// Adjusts the window to the latest latencies. The window halves if the recent mean latency per unit
--- a/src/scheduler/endpoints.rs
+++ b/src/scheduler/endpoints.rs
@@ -1,5 +1,7 @@
-//! Applies updates of the endpoint list, grants draining nodes a grace period, and schedules watches and
-//! polls of the list.
+//! Applies updates of the endpoint list, grants draining nodes a grace period, and schedules polls of the
+//! list.
+//!
+//! A poll is a request to discovery for the endpoint list. A watch is a poll that waits for changes.
 
 use super::Scheduler;
 use super::action::Action;
@@ -8,25 +10,28 @@
 use super::settings::SchedulerSettings;
 use super::slow_start::SlowStartBucket;
 
-/// Platform rule (draining): after a failed poll, the platform considers a change announced this long after
-/// discovery has recorded the change and is reachable (Protocol page, "Figures").
+/// Platform rule (draining): after a failed poll, the platform considers a change announced after this delay.
+/// The delay starts when discovery has recorded the change or when discovery is reachable, whichever is later
+/// (Protocol page, "Figures").
 const ANNOUNCEMENT_DELAY_US: u64 = 6_000_000;
 /// The time after which a poll times out in the gateway's discovery client.
 const POLL_TIMEOUT_US: u64 = 1_500_000;
 /// The maximum time from a failed poll to the next one. The next poll must be able to return a change before
 /// the platform considers the change announced.
 const MAX_POLL_RETRY_PERIOD_US: u64 = ANNOUNCEMENT_DELAY_US - POLL_TIMEOUT_US;
-/// The maximum size of a fleet whose polls are not spread out over time.
+/// The maximum size of a fleet whose first polls are not spread over time. Polls after a failure are spread
+/// in small fleets, too.
 const MAX_UNSPREAD_GATEWAYS: usize = 8;
-/// Each gateway beyond [`MAX_UNSPREAD_GATEWAYS`] extends the time over which polls are spread by the maximum
-/// poll interval divided by this number.
+/// The time over which polls are spread grows by the maximum poll interval divided by this number for each
+/// gateway beyond [`MAX_UNSPREAD_GATEWAYS`]. [`poll_spread_us`] limits the time to three quarters of the
+/// maximum poll interval and to [`MAX_POLL_RETRY_PERIOD_US`].
 const POLL_SPREAD_STEP_DIVISOR: u64 = 128;
 /// The minimum period of polls after a failure is the maximum poll interval divided by this number.
 const MIN_POLL_RETRY_PERIOD_DIVISOR: u64 = 32;
 /// The maximum number of times that the period of polls doubles after consecutive failures.
 const MAX_POLL_RETRY_PERIOD_DOUBLINGS: u32 = 3;
 
-/// The schedule of watches and polls of the endpoint list.
+/// The schedule of polls of the endpoint list.
 #[derive(Default)]
 pub(super) struct EndpointPolling {
     /// When the next poll starts; `None` if none is scheduled.
@@ -52,18 +57,22 @@
 
     /// Records that a poll failed, and schedules the next one in this gateway's time slot.
     fn record_failure(&mut self, settings: &SchedulerSettings, now_us: u64) {
-        let shortest_us = poll_spread_us(settings)
+        let min_period_us = poll_spread_us(settings)
             .max(settings.max_poll_interval_us / MIN_POLL_RETRY_PERIOD_DIVISOR)
             .max(settings.batch_interval_us);
-        let period_us = (shortest_us << self.consecutive_failures.min(MAX_POLL_RETRY_PERIOD_DOUBLINGS))
+        let period_us = (min_period_us << self.consecutive_failures.min(MAX_POLL_RETRY_PERIOD_DOUBLINGS))
             .min(MAX_POLL_RETRY_PERIOD_US);
         self.consecutive_failures += 1;
         self.next_poll_at_us = Some(next_slot_at_us(settings, now_us + 1, period_us));
     }
 }
 
-/// Returns the time over which gateways spread their polls. It grows by one step with each gateway beyond
-/// [`MAX_UNSPREAD_GATEWAYS`].
+/// Returns the time over which the gateways spread their first polls, in microseconds. Polls after a failure
+/// are spread over at least this time.
+///
+/// The time is 0 in fleets of up to [`MAX_UNSPREAD_GATEWAYS`] gateways. It grows by 1/128 of the maximum poll
+/// interval for each further gateway, up to three quarters of the maximum poll interval or
+/// [`MAX_POLL_RETRY_PERIOD_US`], whichever is shorter.
 ///
 /// A single discovery service answers the polls one after another. Without the spread, a fleet whose gateways
 /// start at the same time, or detect a failure of the service at the same time, would overload it repeatedly.
@@ -75,16 +84,18 @@
         .min(MAX_POLL_RETRY_PERIOD_US)
 }
 
-/// Returns when this gateway's next time slot begins. Each period is divided evenly among all gateways, and
-/// starts at the same time on all of them, because they share a clock.
+/// Returns when this gateway's next time slot begins, which may be `now_us`. Periods start at multiples of
+/// `period_us` of the clock, which all gateways have in common. Each period is divided evenly into one slot
+/// per gateway.
 fn next_slot_at_us(settings: &SchedulerSettings, now_us: u64, period_us: u64) -> u64 {
     let (gateway_count, period_us) = (settings.gateway_count.max(1) as u64, period_us.max(1));
-    let slot_us = period_us / gateway_count * (settings.gateway_index as u64 % gateway_count);
-    now_us + (slot_us + period_us - now_us % period_us) % period_us
+    let slot_offset_us = period_us / gateway_count * (settings.gateway_index as u64 % gateway_count);
+    now_us + (slot_offset_us + period_us - now_us % period_us) % period_us
 }
 
 impl Scheduler {
-    /// Applies an update of the endpoint list. A complete list removes all nodes that it does not contain.
+    /// Applies an update of the endpoint list. A complete list marks all nodes that it does not contain as
+    /// removed.
     pub(super) fn update_endpoints(&mut self, update: &EndpointUpdate) {
         let endpoints = match update {
             EndpointUpdate::PollFailed => {
@@ -153,19 +164,20 @@
 
     /// Returns the initial slow-start bucket of a node that is new or has restarted.
     ///
-    /// All gateways are notified of the node's start at the same time and have work queued for the node, so
-    /// each gateway starts with a random deficit. A gateway that started after the node sends it nothing for
-    /// one slow-start window, because the gateway's previous process may already have used the
+    /// All gateways are notified of the node's start at the same time and have work queued for the node.
+    /// Without countermeasures, they would all send at the same moment, so each bucket starts with a random
+    /// deficit. A gateway that started after the node sends the node nothing until one slow-start window has
+    /// passed since the gateway's own start, because the gateway's previous process may already have used the
     /// slow-start share.
     fn initial_slow_start_bucket(&mut self, endpoint: &Endpoint) -> SlowStartBucket {
-        let predecessor_may_have_sent = endpoint.started_at_us <= Some(self.started_at_us);
-        let window_us = self.slow_start.window_us().filter(|_| predecessor_may_have_sent).unwrap_or(0);
+        let node_started_before_gateway = endpoint.started_at_us <= Some(self.started_at_us);
+        let window_us = self.slow_start.window_us().filter(|_| node_started_before_gateway).unwrap_or(0);
         let deficit = 2.0 * self.settings.mean_request_units * self.rng.f64();
         let tokens = self.slow_start.initial_share() - deficit;
         SlowStartBucket::new(tokens, self.now_us.max(self.started_at_us + window_us))
     }
 
-    /// Starts a watch of the endpoint list if its scheduled time has come.
+    /// Instructs the caller to watch the endpoint list if a poll is scheduled and its time has come.
     pub(super) fn poll_endpoints(&mut self, actions: &mut Vec<Action>) {
         if self.endpoint_polling.next_poll_at_us.is_some_and(|at_us| at_us <= self.now_us) {
             self.endpoint_polling.next_poll_at_us = None;
--- a/src/scheduler/event.rs
+++ b/src/scheduler/event.rs
@@ -8,23 +8,25 @@
 /// The name of a storage node, as the endpoint list gives it.
 pub type NodeId = Arc<str>;
 
-/// The number of a request, unique among those in flight at one gateway.
+/// The numeric identifier of a request, unique among those in flight at one gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// The number of a shard of the stored data. Each node holds one shard; several nodes may hold the same one.
+/// The numeric identifier of a shard of the stored data. Each node holds one shard; several nodes may hold
+/// the same shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub u32);
 
-/// The number of a zone. Only compared for equality, to find the nodes that recognize an idempotency key.
+/// The numeric identifier of a zone. Only compared for equality, to find the nodes that recognize an
+/// idempotency key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// The number of a volume. Reservations and rate limits apply to each volume separately.
+/// The numeric identifier of a volume. Reservations and rate limits apply to each volume separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
-/// The number of a block of stored data. Requests of some classes are ordered by it, see
+/// The numeric identifier of a block of stored data. Requests of some classes are ordered by block, see
 /// [`RequestClass::ordered_by_block`](super::RequestClass::ordered_by_block).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BlockId(pub u64);
@@ -135,8 +137,8 @@
     /// The volume's total rate over all gateways and nodes in a past period, in percent of the plan's
     /// provisioned rate; `None` if not reported.
     pub volume_rate_percent: Option<f64>,
-    /// The units that the node has served for the volume through other gateways since its previous answer; 0
-    /// if not reported.
+    /// The units that the node has served for the volume through other gateways since its previous answer to
+    /// this gateway for the volume; 0 if not reported.
     pub units_via_other_gateways: f64,
     /// The load that the node reported with its answer.
     pub load: LoadReport,
--- a/src/scheduler/expiry.rs
+++ b/src/scheduler/expiry.rs
@@ -32,7 +32,7 @@
             // Before a request that writes a new object is rejected, it is queued for the shard that now has
             // the shortest expected wait.
             if request.may_change_shard() && self.cannot_be_served(request) {
-                self.enqueue(id);
+                self.place_and_enqueue(id);
             }
             let request = &self.requests[&id];
             if request.response_started {
--- a/src/scheduler/fair_queue.rs
+++ b/src/scheduler/fair_queue.rs
@@ -8,12 +8,12 @@
 const MIN_WEIGHT: f64 = 1e-3;
 
 /// The fair queue of one node. Virtual time advances by the units of a request divided by the weight of its
-/// volume.
+/// volume. Only requests that were selected from a rank below the preferred dispatch rank are recorded.
 #[derive(Default)]
 pub(super) struct FairQueue {
-    /// The virtual start time of the latest request that was sent to the node.
+    /// The virtual start time of the latest recorded request.
     virtual_time: f64,
-    /// The virtual time at which the latest request of each volume finishes.
+    /// The virtual time at which the latest recorded request of each volume finishes.
     finish_times: FxHashMap<VolumeId, f64>,
 }
 
@@ -23,7 +23,8 @@
         self.finish_times.get(&volume).copied().unwrap_or(0.0).max(self.virtual_time)
     }
 
-    /// Records that a request of the volume is sent to the node, and advances the virtual time.
+    /// Records that a request of the volume, selected from a lower rank, is sent to the node, and advances
+    /// the virtual time.
     pub(super) fn record_send(&mut self, volume: VolumeId, units: f64, weight: f64) {
         let finish_time = self.finish_times.entry(volume).or_insert(0.0);
         self.virtual_time = finish_time.max(self.virtual_time);
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -23,8 +23,9 @@
     backoff_until_us: u64,
     /// Total duration of the attempts that have timed out since the last success, in microseconds.
     total_timed_out_us: f64,
-    /// Time for which the oldest attempt has been in flight, in microseconds; 0 if none is in flight.
-    pub(super) oldest_in_flight_us: f64,
+    /// Time since the sending of the oldest attempt that is in flight at the node, including attempts
+    /// presumed lost, in microseconds; 0 if none is in flight. Updated by [`Scheduler::mark_lost_attempts`].
+    pub(super) oldest_attempt_age_us: f64,
 }
 
 impl NodeHealth {
@@ -68,29 +69,30 @@
 }
 
 impl Scheduler {
-    /// Marks attempts that are presumed lost, and updates how long each node's oldest attempt has been in
-    /// flight.
+    /// Marks attempts that are presumed lost, and updates the age of each node's oldest attempt in flight.
     ///
-    /// Deviation from the paper: an attempt that takes several times its expected latency is presumed lost if
-    /// at least two attempts sent to its node have succeeded since it was sent. An attempt that is the only
-    /// one in flight at its node, apart from lost ones, is presumed lost after twice that time unless the
-    /// node is failing. Lost attempts no longer occupy slots of the concurrency window. This guards against
-    /// responses lost in the network, hung workers, and stalled or partitioned nodes. It may overload a node
-    /// that only pauses, or at which a few requests cost far more than their size suggests.
+    /// Deviation from the paper: an attempt that takes longer than [`LOST_AFTER_FACTOR`] times its expected
+    /// latency is presumed lost if at least two attempts sent to its node have succeeded since it was sent.
+    /// An attempt that is the only one in flight at its node, apart from lost ones, is presumed lost after
+    /// twice [`LOST_AFTER_FACTOR`] times its expected latency, unless the node is failing. Lost attempts no
+    /// longer occupy slots of the concurrency window. This guards against responses lost in the network, hung
+    /// workers, and stalled or partitioned nodes. It may overload a node that only pauses, or at which a few
+    /// requests cost far more than their size suggests.
     pub(super) fn mark_lost_attempts(&mut self) {
         for node in &mut self.nodes {
-            node.health.oldest_in_flight_us = 0.0;
+            node.health.oldest_attempt_age_us = 0.0;
         }
         for request in self.requests.values_mut() {
             let units = request.units;
             let Some(attempt) = request.attempt_in_flight_mut() else { continue };
             let node = &mut self.nodes[attempt.node];
             let elapsed_us = (self.now_us - attempt.sent_at_us) as f64;
-            node.health.oldest_in_flight_us = node.health.oldest_in_flight_us.max(elapsed_us);
+            node.health.oldest_attempt_age_us = node.health.oldest_attempt_age_us.max(elapsed_us);
             let latency_ratio = elapsed_us / node.expected_latency_us(units).max(1.0);
-            let is_alone = node.in_flight == node.presumed_lost + 1 && !node.health.is_failing();
+            let is_only_attempt_at_healthy_node =
+                node.in_flight == node.presumed_lost + 1 && !node.health.is_failing();
             let was_overtaken = node.successes >= attempt.node_successes + 2;
-            let is_lost = (is_alone && latency_ratio > 2.0 * LOST_AFTER_FACTOR)
+            let is_lost = (is_only_attempt_at_healthy_node && latency_ratio > 2.0 * LOST_AFTER_FACTOR)
                 || (was_overtaken && latency_ratio > LOST_AFTER_FACTOR);
             if is_lost && !attempt.presumed_lost {
                 attempt.presumed_lost = true;
--- a/src/scheduler/latency_model.rs
+++ b/src/scheduler/latency_model.rs
@@ -8,12 +8,12 @@
 use super::settings::RequestClass;
 use std::collections::VecDeque;
 
-/// Ratio of the mean disengagement to its target below which a class has slack: zeta of the paper. For the
-/// value, see `docs/design.md`, "Constants".
-pub(super) const MIN_TARGET_RATIO: f64 = 0.95;
-/// Ratio of the mean disengagement to its target above which a class misses its target: theta of the paper.
-/// For the value, see `docs/design.md`, "Constants".
-pub(super) const MAX_TARGET_RATIO: f64 = 0.98;
+/// Threshold for the mean disengagement divided by its target. Below the threshold, a class has slack: zeta
+/// of the paper. For the value, see `docs/design.md`, "Constants".
+pub(super) const SLACK_RATIO_THRESHOLD: f64 = 0.95;
+/// Threshold for the mean disengagement divided by its target. Above the threshold, a class misses its
+/// target: theta of the paper. For the value, see `docs/design.md`, "Constants".
+pub(super) const MISS_RATIO_THRESHOLD: f64 = 0.98;
 /// Target of the mean disengagement, which ranges from 0 to 1; see `docs/design.md`, "Constants".
 const TARGET_DISENGAGEMENT: f64 = 0.02;
 /// Maximum number of completions to which the model of a class is fitted; see `docs/design.md`, "Constants".
@@ -110,9 +110,11 @@
         - cumulative_probability(deadline)
 }
 
-/// Returns the highest mean latency, up to half the deadline, that keeps the mean disengagement within its
-/// target. The value is found by bisection. All times must have the same unit, which is also that of the
-/// result.
+/// Returns a mean latency, up to half the deadline, at which the mean disengagement is close to its target.
+///
+/// The bisection accepts any mean latency at which the mean disengagement divided by its target lies between
+/// `SLACK_RATIO_THRESHOLD` and `MISS_RATIO_THRESHOLD`. If the search ends near 0 or near half the deadline,
+/// the result may miss the target. All times must have the same unit, which is also that of the result.
 pub fn mean_latency_budget(coefficient_of_variation: f64, objective: f64, deadline: f64) -> f64 {
     let distribution = fit_generalized_exponential(coefficient_of_variation);
     let (mut low, mut high) = (0.0, deadline / 2.0);
@@ -120,9 +122,9 @@
     while high - low > deadline / 2.0 * MEAN_PRECISION {
         mean = (low + high) / 2.0;
         let ratio = mean_disengagement(distribution, mean, objective, deadline) / TARGET_DISENGAGEMENT;
-        if ratio < MIN_TARGET_RATIO {
+        if ratio < SLACK_RATIO_THRESHOLD {
             low = mean;
-        } else if ratio > MAX_TARGET_RATIO {
+        } else if ratio > MISS_RATIO_THRESHOLD {
             high = mean;
         } else {
             break;
--- a/src/scheduler/node.rs
+++ b/src/scheduler/node.rs
@@ -10,7 +10,8 @@
 /// window shrinks.
 const WINDOW_SHRINK_OBJECTIVE_FRACTION: f64 = 0.18;
 
-/// The index of a node in the scheduler's list of nodes, from which nodes are never removed.
+/// The index of a node in the scheduler's list of nodes. The index remains valid: a node that is missing from
+/// the endpoint list is only marked as removed and stays in the scheduler's list.
 pub(super) type NodeIndex = usize;
 
 /// The state of a storage node at this gateway.
@@ -40,7 +41,7 @@
     /// The moving average of the latency beyond the service time, in microseconds. The two are tracked
     /// separately, so that large requests do not raise the latency that is expected for small ones.
     queueing_delay_us: f64,
-    /// The service time, in microseconds per unit: the upper bound of the fastest eighth of the recent
+    /// An estimate of the service time, in microseconds per unit: the 12.5th percentile of the recent
     /// latencies per unit; 0 if unknown.
     pub(super) service_time_per_unit_us: f64,
     /// The number of requests, in process or queued, that the node last reported; 0 if it has reported none.
@@ -132,8 +133,8 @@
         self.presumed_lost -= u32::from(presumed_lost);
     }
 
-    /// Records that an attempt succeeded, and adjusts the concurrency window unless it was adjusted less than
-    /// the expected latency of a mean request ago.
+    /// Records that an attempt succeeded, and adjusts the concurrency window if at least the expected latency
+    /// of a request of mean size has passed since the window's previous adjustment.
     pub(super) fn record_success(
         &mut self,
         now_us: u64,
@@ -144,6 +145,8 @@
         let latency = latency_us as f64;
         let latency_per_unit = latency / units.max(1.0);
         let queueing_delay_us = (latency - self.service_time_per_unit_us * units).max(0.0);
+        // After a failure, or at the first sample, the average restarts at half of the measured delay. The
+        // sample is then added as usual.
         if self.health.is_failing() || self.window.has_no_samples() {
             self.queueing_delay_us = queueing_delay_us / 2.0;
             self.window.restart_recent_mean(latency_per_unit);
--- a/src/scheduler/retry.rs
+++ b/src/scheduler/retry.rs
@@ -54,7 +54,7 @@
 /// The unfinished requests for one block, in order of arrival.
 #[derive(Default)]
 struct BlockQueue {
-    waiting: VecDeque<RequestId>,
+    unfinished: VecDeque<RequestId>,
     /// Time before which no request for the block may have its first attempt sent.
     not_before_us: u64,
 }
@@ -68,18 +68,18 @@
 
 impl OrderingQueues {
     pub(super) fn enqueue(&mut self, block: BlockId, request: RequestId) {
-        self.0.entry(block).or_default().waiting.push_back(request);
+        self.0.entry(block).or_default().unfinished.push_back(request);
     }
 
     pub(super) fn remove(&mut self, block: BlockId, request: RequestId) {
         if let Some(queue) = self.0.get_mut(&block) {
-            queue.waiting.retain(|other| *other != request);
+            queue.unfinished.retain(|other| *other != request);
         }
     }
 
     /// Delays first attempts for a block until the given time, because an attempt that the gateway considers
-    /// ended may still be executing on its node. Retries are not delayed: the request that may still be
-    /// executing is the one that is retried.
+    /// ended may still be executing on its node. Retries are not delayed: only the request whose own earlier
+    /// attempt may still be executing is retried, so the order is preserved.
     fn delay(&mut self, block: BlockId, until_us: u64) {
         if let Some(queue) = self.0.get_mut(&block) {
             queue.not_before_us = queue.not_before_us.max(until_us);
@@ -90,13 +90,13 @@
     fn admits(&self, block: BlockId, id: RequestId, is_first_attempt: bool, now_us: u64) -> bool {
         let Some(queue) = self.0.get(&block) else { return true };
         let is_delayed = is_first_attempt && now_us < queue.not_before_us;
-        queue.waiting.front() == Some(&id) && !is_delayed
+        queue.unfinished.front() == Some(&id) && !is_delayed
     }
 }
 
 impl Scheduler {
-    /// Returns whether the idempotency rule permits a request to be sent, or sent again, regardless of which
-    /// nodes recognize its idempotency key.
+    /// Returns whether the idempotency rule permits sending the request to at least some node. Does not check
+    /// the deduplication scope; see [`Scheduler::idempotency_permits_sending_to`].
     ///
     /// Platform rule (idempotency): a request that may have been executed is sent again only if its class is
     /// idempotent or nodes still recognize its idempotency key.
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -1,13 +1,14 @@
 //! The settings of a scheduler: request classes, service plans, and the rules of the deployment.
 //!
-//! Every field is derived from the platform's settings or from the operator's file. A rule or feature that
-//! neither of them states is disabled. Fields that end in `_us` are microseconds.
+//! Every field is derived from the platform's settings, or from the operator's file and the constants of the
+//! object gateway. A rule or feature that none of these sources states is disabled. Fields that end in `_us`
+//! are microseconds.
 
-/// The number of a request class: its index in [`SchedulerSettings::classes`].
+/// The index of a request class in [`SchedulerSettings::classes`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassIndex(pub usize);
 
-/// The number of a service plan: its index in [`SchedulerSettings::plans`].
+/// The index of a service plan in [`SchedulerSettings::plans`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanIndex(pub usize);
 
@@ -19,10 +20,11 @@
     /// The request has an idempotency key: nodes within the scope discard repetitions of the request that
     /// arrive within the deduplication window.
     WithKey {
-        /// The nodes that recognize the key, relative to the node of the earlier attempt.
+        /// Which nodes recognize the key: all nodes, or those in the same zone or shard as the node that may
+        /// have executed the request.
         scope: DeduplicationScope,
-        /// The deduplication window: how long the nodes recognize the key, counted from the first attempt, in
-        /// microseconds.
+        /// The deduplication window: how long the nodes recognize the key, in microseconds. The scheduler
+        /// counts the window from the sending of the first attempt that may have executed the request.
         deduplication_window_us: u64,
     },
     /// The request must never be executed twice.
@@ -56,7 +58,9 @@
     pub idempotency: Idempotency,
     /// Whether requests for the same block are executed one at a time, in order of arrival.
     pub ordered_by_block: bool,
-    /// The objective is extended by the request's own service time, multiplied by this factor.
+    /// The multiple of the request's service time by which the objective is extended. The service time is
+    /// computed as the request's units times the service time per unit of the first node in the scheduler's
+    /// list.
     pub objective_stretch: f64,
 }
 
@@ -74,13 +78,15 @@
 /// The service plan of a volume. All rates are units per second for one volume, over all gateways and nodes.
 #[derive(Clone, Debug)]
 pub struct ServicePlan {
-    /// The provisioned rate. Nodes report the volume's metered rate as a percentage of it. A fixed fraction
-    /// of it is assumed to be spread evenly over the volume's gateways when the reservation is divided among
-    /// them.
+    /// The provisioned rate. Nodes report the volume's metered rate as a percentage of the provisioned rate.
+    /// To divide the reservation among the gateways, a fixed fraction of the provisioned rate is assumed as
+    /// additional traffic. This traffic is divided evenly among the volume's gateways and added to the
+    /// observed rates, so that a gateway without observed requests still gets a share.
     pub provisioned_rate: f64,
     /// The rate up to which the volume's requests earn their full priority weight.
     pub reserved_rate: f64,
-    /// The volume's weight in the fair queue, which shares out the capacity beyond the reservations.
+    /// The volume's weight in the fair queue, which divides slots among the volumes. The fair queue orders
+    /// reserved background requests as well as requests beyond the reservations.
     pub weight: f64,
     /// The factor by which the priority weight of the volume's requests is multiplied.
     pub priority_factor: f64,
@@ -91,8 +97,8 @@
 /// How much work a node that has just started may be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartPolicy {
-    /// The units that a node that has just started sustains within any slow-start window, summed over all
-    /// gateways.
+    /// The total units from all gateways that a newly started node is guaranteed to sustain in any slow-start
+    /// window.
     pub guaranteed_units: f64,
     /// The slow-start window, over which a node's load is summed.
     pub window_us: u64,
@@ -100,7 +106,8 @@
     pub initial_capacity: f64,
     /// The time after which a node has its full capacity; 0 if nodes have it from the start.
     pub warm_up_us: u64,
-    /// A node is overloaded by more than this multiple of its current capacity over the slow-start window.
+    /// The load, averaged over the slow-start window, above which a node is overloaded, as a multiple of its
+    /// current capacity.
     pub overload_factor: f64,
 }
 
@@ -122,7 +129,7 @@
     pub classes: Vec<RequestClass>,
     /// The service plans; [`PlanIndex`] is the position in this list.
     pub plans: Vec<ServicePlan>,
-    /// The number of this gateway among all gateways, from 0.
+    /// The index of this gateway among all gateways, from 0.
     pub gateway_index: usize,
     /// The number of gateways in the fleet.
     pub gateway_count: usize,
@@ -157,8 +164,9 @@
     pub mean_request_units: f64,
     /// The largest size of a request in units.
     pub max_request_units: f64,
-    /// The factor by which dispatch multiplies the priority weight of every request beyond its volume's
-    /// reservation. The setting is meant for units beyond the reservation but within the volume's fair share.
+    /// The factor on the priority weight of requests beyond their volume's reservation. The platform defines
+    /// this factor for units beyond the reservation but within the volume's fair share. The scheduler
+    /// simplifies: it applies the factor to every request beyond the reservation.
     pub unreserved_weight_factor: f64,
     /// The period over which nodes meter the total rate of a volume; `None` if they do not report it.
     pub metering_period_us: Option<u64>,
@@ -172,12 +180,12 @@
         class.0 < self.classes.len() && plan.0 < self.plans.len()
     }
 
-    /// Returns the class with this number, which must exist.
+    /// Returns the class with this index, which must exist.
     pub(super) fn class(&self, class: ClassIndex) -> &RequestClass {
         &self.classes[class.0]
     }
 
-    /// Returns the plan with this number, which must exist.
+    /// Returns the plan with this index, which must exist.
     pub(super) fn plan(&self, plan: PlanIndex) -> &ServicePlan {
         &self.plans[plan.0]
     }
--- a/src/scheduler/slot_split.rs
+++ b/src/scheduler/slot_split.rs
@@ -1,15 +1,16 @@
 //! The split of a node's slots between latency-bound and background classes.
 //!
 //! As in the paper, a free slot is assigned to the latency-bound classes with the probability alpha. Alpha
-//! decreases additively while the classes meet their disengagement targets, and increases multiplicatively
-//! while a class misses its target.
+//! decreases additively while all classes meet their disengagement targets and at least one class has slack.
+//! Alpha increases multiplicatively while a class misses its target. Only latency-bound classes with a fitted
+//! model count.
 
 use super::Scheduler;
-use super::latency_model::{LatencyModel, MAX_TARGET_RATIO, MIN_TARGET_RATIO};
+use super::latency_model::{LatencyModel, MISS_RATIO_THRESHOLD, SLACK_RATIO_THRESHOLD};
 use super::settings::ClassIndex;
 
-/// Additive decrease of alpha while all classes meet their targets: gamma of the paper. It is divided by
-/// the mean coefficient of variation of the latencies.
+/// Additive decrease of alpha while all classes meet their targets and at least one class has slack: gamma of
+/// the paper. The decrease is divided by the mean coefficient of variation of the latencies.
 const ALPHA_DECREASE: f64 = 0.05;
 /// Factor by which alpha increases while a class misses its target: 1 + beta of the paper.
 const ALPHA_INCREASE: f64 = 1.0 + 0.25;
@@ -37,7 +38,7 @@
     }
 
     /// Raises alpha if a class misses its target. Lowers alpha if all classes meet their targets and at
-    /// least one has slack.
+    /// least one has slack. Classes without a fitted model are ignored.
     fn update<'a>(&mut self, latency_bound: impl Iterator<Item = &'a LatencyModel>) {
         let (mut highest_ratio, mut lowest_ratio) = (0.0, f64::INFINITY);
         let (mut variation_sum, mut fitted_count) = (0.0, 0);
@@ -49,9 +50,9 @@
             fitted_count += 1;
         }
         let mean_variation = variation_sum / f64::from(fitted_count.max(1));
-        if highest_ratio > MAX_TARGET_RATIO {
+        if highest_ratio > MISS_RATIO_THRESHOLD {
             self.alpha *= ALPHA_INCREASE;
-        } else if lowest_ratio < MIN_TARGET_RATIO && highest_ratio < MAX_TARGET_RATIO {
+        } else if lowest_ratio < SLACK_RATIO_THRESHOLD && highest_ratio < MISS_RATIO_THRESHOLD {
             self.alpha -= ALPHA_DECREASE / mean_variation.max(MIN_VARIATION);
         }
         self.alpha = self.alpha.clamp(MIN_ALPHA, 1.0);
--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -6,13 +6,14 @@
 pub(super) const RATE_AVERAGING_TIME_US: f64 = 3_000_000.0;
 /// [`RATE_AVERAGING_TIME_US`] in seconds.
 pub(super) const RATE_AVERAGING_TIME_S: f64 = RATE_AVERAGING_TIME_US / 1e6;
-/// The fraction of the provisioned rate that is assumed to be spread evenly over the volume's gateways. It
-/// gives a gateway that has not yet received any requests for the volume a share of the reservation.
+/// Assumed additional traffic of a volume, as a fraction of its provisioned rate. The traffic is divided
+/// evenly among the volume's gateways and added to the observed rates, so that a gateway without observed
+/// requests still gets a share of the reservation.
 const EVEN_RATE_FRACTION: f64 = 0.25;
 /// The lower bound of the provisioned rate when shares are computed, in units per second.
 const MIN_PROVISIONED_RATE: f64 = 1e-3;
-/// The margin above the lowest level of the rate limit's bucket, in units. It prevents rounding errors from
-/// overdrawing the bucket.
+/// How far above its lowest level the rate limit's bucket must stay after a charge, in units. Prevents
+/// rounding errors from overdrawing the bucket.
 const ROUNDING_MARGIN_UNITS: f64 = 1e-6;
 
 /// The state of a volume at this gateway.
@@ -29,7 +30,8 @@
     reservation_tokens: f64,
     /// The average rate requested through this gateway, in units per second.
     own_rate: f64,
-    /// The average rate served through the other gateways, in units per second.
+    /// The average rate served through the other gateways, in units per second. Replaced when a metered rate
+    /// is reported, see [`Volume::set_rate_from_metering`].
     other_gateways_rate: f64,
     /// The units of queued requests that have not been charged to the rate limit.
     uncharged_units: f64,
@@ -39,8 +41,8 @@
     /// Creates the state of a volume whose first request arrives.
     ///
     /// Platform rule (rate limit): each gateway uses an even share of the volume's bucket. A gateway that has
-    /// restarted does not know how much its previous process used, so its share starts at the lowest level,
-    /// the overdraft.
+    /// restarted does not know how much its previous process used, so its bucket is assumed to have been at
+    /// the lowest level, minus its share of the overdraft, when the gateway started.
     pub(super) fn new(
         plan: &ServicePlan,
         gateway_count: f64,
@@ -61,8 +63,8 @@
     pub(super) fn advance(&mut self, plan: &ServicePlan, now_us: u64, max_request_units: f64) {
         let elapsed_us = now_us.saturating_sub(self.updated_at_us) as f64;
         self.updated_at_us = now_us;
-        // Without a rate limit no tokens accumulate, so that a volume has none saved when it gets a limited
-        // plan later.
+        // Without a rate limit, no tokens accumulate, so a volume that later changes to a plan with a limit
+        // has no burst available at once.
         self.rate_limit_tokens = plan.rate_limit.map_or(self.rate_limit_tokens.min(0.0), |limit| {
             let refilled = self.rate_limit_tokens + limit.rate / self.gateway_count * elapsed_us / 1e6;
             refilled.min(limit.burst / self.gateway_count)
@@ -98,13 +100,15 @@
         self.other_gateways_rate += units / RATE_AVERAGING_TIME_S;
     }
 
-    /// Records the volume's total rate over all gateways and nodes, in percent of the provisioned rate.
-    pub(super) fn record_metered_rate(&mut self, percent: f64, plan: &ServicePlan) {
+    /// Replaces the average rate through the other gateways with the metered rate minus the average rate
+    /// through this gateway, but at least 0. The metered rate is the volume's total rate over all gateways
+    /// and nodes; `percent` is relative to the provisioned rate.
+    pub(super) fn set_rate_from_metering(&mut self, percent: f64, plan: &ServicePlan) {
         self.other_gateways_rate = (percent / 100.0 * plan.provisioned_rate - self.own_rate).max(0.0);
     }
 
     /// Returns how long until the rate limit admits this many units in addition to the queued, uncharged
-    /// units, in microseconds.
+    /// units, in microseconds. Ignores [`ROUNDING_MARGIN_UNITS`].
     pub(super) fn rate_limit_wait_us(&self, limit: &RateLimit, units: f64) -> u64 {
         let missing_units =
             self.uncharged_units + units - self.rate_limit_tokens - limit.overdraft / self.gateway_count;
@@ -112,12 +116,13 @@
     }
 
     /// Returns whether a request of this size exceeds the rate limit even with a full bucket, so that it can
-    /// never be admitted.
-    pub(super) fn exceeds_burst(&self, limit: &RateLimit, units: f64) -> bool {
+    /// never be admitted. Ignores [`ROUNDING_MARGIN_UNITS`].
+    pub(super) fn can_never_admit(&self, limit: &RateLimit, units: f64) -> bool {
         units > (limit.burst + limit.overdraft) / self.gateway_count
     }
 
-    /// Returns whether the rate limit admits this many units now. `advance` has to be called before.
+    /// Returns whether the rate limit admits this many units now: after the charge, the bucket must be at
+    /// least [`ROUNDING_MARGIN_UNITS`] above its lowest level. `advance` has to be called before.
     pub(super) fn rate_limit_admits(&self, plan: &ServicePlan, units: f64) -> bool {
         let overdraft = plan.rate_limit.map_or(0.0, |limit| limit.overdraft);
         self.rate_limit_tokens - units >= -overdraft / self.gateway_count + ROUNDING_MARGIN_UNITS
@@ -139,8 +144,8 @@
         self.uncharged_units -= units;
     }
 
-    /// Takes units out of the reservation's bucket if it contains at least half of them. Returns whether the
-    /// units were taken.
+    /// Takes the units from the reservation's bucket if it holds at least half as many tokens; the level may
+    /// become negative. Returns whether the units were taken.
     pub(super) fn try_reserve(&mut self, units: f64) -> bool {
         let reserved = self.reservation_tokens >= units / 2.0;
         if reserved {
