--- a/src/scheduler/volume.rs
+++ b/src/scheduler/volume.rs
@@ -9,7 +9,7 @@
 /// Assumed additional traffic of a volume, as a fraction of its provisioned rate. The traffic is divided
 /// evenly among the volume's gateways and added to the observed rates, so that a gateway without observed
 /// requests still gets a share of the reservation.
-const EVEN_RATE_FRACTION: f64 = 0.25;
+const ASSUMED_RATE_FRACTION: f64 = 0.25;
 /// The lower bound of the provisioned rate when shares are computed, in units per second.
 const MIN_PROVISIONED_RATE: f64 = 1e-3;
 /// How far above its lowest level the rate limit's bucket must stay after a charge, in units. Prevents
@@ -81,12 +81,12 @@
     /// Returns this gateway's share of the reservation, from 0 to 1. The share follows the fraction of the
     /// volume's traffic that arrives at this gateway.
     fn reservation_share(&self, plan: &ServicePlan) -> f64 {
-        let even_rate = EVEN_RATE_FRACTION * plan.provisioned_rate.max(MIN_PROVISIONED_RATE);
+        let assumed_rate = ASSUMED_RATE_FRACTION * plan.provisioned_rate.max(MIN_PROVISIONED_RATE);
         if self.gateway_count <= 1.0 {
             1.0
         } else {
-            (self.own_rate + even_rate / self.gateway_count)
-                / (self.own_rate + self.other_gateways_rate + even_rate)
+            (self.own_rate + assumed_rate / self.gateway_count)
+                / (self.own_rate + self.other_gateways_rate + assumed_rate)
         }
     }
 
--- a/src/transport/client_stream.rs
+++ b/src/transport/client_stream.rs
@@ -25,8 +25,8 @@
 
 /// A client's socket, with a buffer for bytes that are read from it before hyper requests them.
 ///
-/// While a request is in progress, hyper stops reading once it has read any byte beyond the request, and then
-/// cannot detect a later disconnect. `ReadAhead` therefore reads on.
+/// While a request is in progress, hyper reads at most one byte beyond the request. After that byte, hyper
+/// stops reading and cannot detect that the client disconnects. `ReadAhead` therefore reads on.
 pub(super) struct ReadAhead {
     stream: TcpStream,
     buffer: RefCell<BytesMut>,
--- a/src/transport/connection_table.rs
+++ b/src/transport/connection_table.rs
@@ -62,9 +62,10 @@
 
 /// A request whose head has just been received.
 pub(super) struct StartedRequest {
-    /// Time at which the first byte of the request was read. Bytes that are read while the previous request
-    /// is served do not count: the time is then that of the first read after the previous response, or, if no
-    /// further byte was needed, the time at which the processing of this request started.
+    /// Time at which hyper read the first byte of the request. If bytes of the request arrived before the
+    /// previous response ended (pipelining), it is the time of hyper's first read after that response. If
+    /// hyper had already read the complete head by then, it is the time at which the processing of the
+    /// request started.
     pub(super) started_at: Instant,
     /// Marks the request as in progress; must be dropped only once the response has been written.
     pub(super) guard: RequestGuard,
